--- a/benchmarks/policy/baselines.py
+++ b/benchmarks/policy/baselines.py
@@ -52,11 +52,11 @@
                 self._release(request)
                 self.profiles.pop(request, None)
                 self.failed.pop(request, None)
-            case messages.FirstTokenSeen(request):
+            case messages.FirstTokenReceived(request):
                 self._first_token(request, now_ms)
             case messages.LoadReported(load):
                 self.loads[load.upstream] = load
-            case messages.UpstreamsKnown(upstreams):
+            case messages.UpstreamsChanged(upstreams):
                 self.upstreams = {u.upstream: u for u in upstreams}
         return []
 
@@ -183,7 +183,7 @@
         match event:
             case messages.RequestArrived(profile):
                 self.lines[profile.priority].append(profile)
-            case messages.UpstreamsKnown(upstreams):
+            case messages.UpstreamsChanged(upstreams):
                 self.upstreams = {u.upstream: u for u in upstreams}
             case messages.RequestEnded(_) | messages.Tick():
                 pass
--- a/benchmarks/policy/decision_cost.py
+++ b/benchmarks/policy/decision_cost.py
@@ -106,7 +106,7 @@
         )
         for index in range(engines)
     )
-    decider.handle(messages.UpstreamsKnown(infos), 0.0)
+    decider.handle(messages.UpstreamsChanged(infos), 0.0)
     for info in infos:
         load = messages.EngineLoad(
             info.upstream, 0.0, 30_000, TOTAL_TOKENS, 20, 0, 0, LIVE
--- a/benchmarks/policy/world.py
+++ b/benchmarks/policy/world.py
@@ -189,9 +189,9 @@
         text = self._text()
         for decider in self.deciders:
             count = len(self.deciders)
-            decider.handle(messages.EntryVmsKnown(count), 0.0)
+            decider.handle(messages.VmCountsChanged(count), 0.0)
             decider.handle(messages.ConfigChanged(text), 0.0)
-            decider.handle(messages.UpstreamsKnown(tuple(self.infos)), 0.0)
+            decider.handle(messages.UpstreamsChanged(tuple(self.infos)), 0.0)
 
     def _decider(self, policy, zone, region, generator):
         if self.oracle is not None:
@@ -329,7 +329,7 @@
         late_ms = REGION_LATENCY_MS if crosses else 0.0
         if not progress.ended:
             self.book.first_token(request, progress.at_ms + late_ms)
-            self._feed(vm, messages.FirstTokenSeen(name), now_ms)
+            self._feed(vm, messages.FirstTokenReceived(name), now_ms)
             return
         self._tell(name, vm, progress.sequence.base, now_ms)
         self.book.ended(request, progress.sequence, progress.at_ms, True)
@@ -412,7 +412,7 @@
         engine.cache_events = []
         if not seen or self.oracle is not None:
             return
-        event = messages.CacheEventsSeen(
+        event = messages.CacheEventsReceived(
             engine.name,
             tuple(prefix for stored, prefix in seen if stored),
             tuple(prefix for stored, prefix in seen if not stored),
@@ -445,7 +445,7 @@
                 event = messages.RequestEnded(sequence.request, False)
             self._feed(vm, event, now_ms)
         left = tuple(info for info in self.infos if info.upstream != name)
-        event = messages.UpstreamsKnown(left)
+        event = messages.UpstreamsChanged(left)
         if self.oracle is not None:
             self._tell_all(event)
         else:
--- a/eelgrassknot/coordination/digest_part.py
+++ b/eelgrassknot/coordination/digest_part.py
@@ -143,7 +143,7 @@
         self, info: events.UpstreamInfo, entry: messages.CacheEntry
     ) -> None:
         self.dispatch.tell(
-            policy_messages.CacheEventsSeen(
+            policy_messages.CacheEventsReceived(
                 info.upstream,
                 _prefixes(entry.stored),
                 _prefixes(entry.evicted),
@@ -204,7 +204,7 @@
         if account is not None:
             rate = demand.milli_requests_per_second / 1_000
             self.dispatch.tell(
-                policy_messages.AccountDemandHeard(vm, account, rate)
+                policy_messages.PeerDemandReceived(vm, account, rate)
             )
 
     def _heard_zones(
@@ -264,7 +264,7 @@
                         policy_messages.DigestReceived(vm, info.upstream, 0, 0)
                     )
         self.dispatch.tell(
-            policy_messages.EntryVmsKnown(event.count, len(event.members))
+            policy_messages.VmCountsChanged(event.count, len(event.members))
         )
 
 
--- a/eelgrassknot/entry.py
+++ b/eelgrassknot/entry.py
@@ -70,7 +70,7 @@
         self.dialect = dialect
         self.generator = random.Random(ids.random_id())
         self.loop = loops.EventLoop(clocks.BootClock())
-        book = health.HealthBook()
+        book = health.HealthTracker()
         region = ids.RegionId(settings.region)
         self.desk = engine_desk.EngineDesk(self.loop, region, book)
         self.plain_pool = plain.PlainPool(region, self.generator, book)
--- a/eelgrassknot/forwarding/call_driver.py
+++ b/eelgrassknot/forwarding/call_driver.py
@@ -193,7 +193,7 @@
 
     def _send(self, action: messages.Send) -> None:
         self.upstream = action.upstream
-        self.context.book.asked(action.upstream.upstream, self.now_ms())
+        self.context.book.request_sent(action.upstream.upstream, self.now_ms())
         self.is_asking = True
         self.attempt = works.send(
             self.context,
@@ -262,22 +262,26 @@
         self.is_asking = False
         book = self.context.book
         if heard:
-            book.heard(self.upstream.upstream, self.now_ms())
+            book.response_started(self.upstream.upstream, self.now_ms())
         else:
-            book.abandoned(self.upstream.upstream)
+            book.request_abandoned(self.upstream.upstream)
 
     def _eject_if_mute(self) -> None:
         """Eject an upstream that let this call wait and answers nobody."""
         book, now_ms = self.context.book, self.now_ms()
-        if self.is_asking and book.is_mute(self.upstream.upstream, now_ms):
+        if self.is_asking and book.is_unresponsive(
+            self.upstream.upstream, now_ms
+        ):
             logs.event('upstream_mute', upstream=self.upstream.upstream)
             book.eject(self.upstream.upstream, now_ms)
 
     def _judge_upstream(self, good: bool) -> None:
         if good:
-            self.context.book.succeeded(self.upstream.upstream)
+            self.context.book.record_success(self.upstream.upstream)
         else:
-            self.context.book.failed(self.upstream.upstream, self.now_ms())
+            self.context.book.record_failure(
+                self.upstream.upstream, self.now_ms()
+            )
 
     def _end(self, reason: str) -> None:
         self.disarm()
--- a/eelgrassknot/forwarding/engine_desk.py
+++ b/eelgrassknot/forwarding/engine_desk.py
@@ -47,7 +47,7 @@
         self,
         loop: loops.EventLoop,
         region: ids.RegionId,
-        book: health.HealthBook,
+        book: health.HealthTracker,
     ) -> None:
         self.loop = loop
         self.region = region
@@ -88,7 +88,9 @@
         self.queue.engines = engines
         self.step_soon()
 
-    def submit(self, order: engine_queue.Order, taker: Taker) -> None:
+    def submit(
+        self, order: engine_queue.PlacementRequest, taker: Taker
+    ) -> None:
         """Have a stream placed, at once if there is room."""
         self.takers[order.request] = taker
         self.queue.submit(order)
@@ -97,7 +99,7 @@
     def withdraw(self, request: ids.RequestId) -> None:
         """Forget a stream that waits."""
         self.takers.pop(request, None)
-        self.queue.withdraw(request)
+        self.queue.cancel(request)
 
     def commitment(
         self, request: ids.RequestId
@@ -132,7 +134,7 @@
         counted.copy = None
         engine = self.queue.place_copy(
             primary.service,
-            engine_pairs.Place(
+            engine_pairs.Location(
                 primary.upstream, primary.region, primary.availability_zone
             ),
             counted.tokens,
--- a/eelgrassknot/forwarding/peer_tally.py
+++ b/eelgrassknot/forwarding/peer_tally.py
@@ -59,7 +59,7 @@
             for entry in news.engines
         }
         now_ms = self.loop.now_ms()
-        self.book.take_peer(teller, sums, now_ms)
+        self.book.update_peer(teller, sums, now_ms)
         self.calls[teller] = (now_ms, dict(news.calls))
         self.plain_pool.others = self._calls(None)
         if self.desk.queue.waiting:
--- a/eelgrassknot/forwarding/stream_driver.py
+++ b/eelgrassknot/forwarding/stream_driver.py
@@ -152,7 +152,9 @@
         if not self.context.dialect.is_genuine(attempt.headers):
             self.take_break(attempt, upstream_link.Fault.MALFORMED, True)
             return
-        self.context.book.failed(attempt.upstream.upstream, self.now_ms())
+        self.context.book.record_failure(
+            attempt.upstream.upstream, self.now_ms()
+        )
         self._log_attempt(attempt, f'status_{attempt.status}')
         self.tell(messages.Headed(attempt.number, False))
 
@@ -163,13 +165,15 @@
         bytes_left: bool,
     ) -> None:
         """Take in that an attempt ended early."""
-        self.context.book.failed(attempt.upstream.upstream, self.now_ms())
+        self.context.book.record_failure(
+            attempt.upstream.upstream, self.now_ms()
+        )
         self._log_attempt(attempt, fault.value)
         self.tell(messages.Broken(attempt.number, bytes_left))
 
     def succeeded(self, attempt: _StreamAttempt) -> None:
         """Take in that an attempt was answered in full."""
-        self.context.book.succeeded(attempt.upstream.upstream)
+        self.context.book.record_success(attempt.upstream.upstream)
 
     # What the state machine wants
 
@@ -210,13 +214,13 @@
             output = commitments.forecast_output(
                 profile.max_output_tokens, profile.output_hint
             )
-        need = engine_pairs.Need(
+        need = engine_pairs.RunRequirements(
             self.context.desk.region,
             prompt,
             max(0, output - produced),
             self.machine.rules.can_copy and not self.machine.rules.resumable,
         )
-        order = engine_queue.Order(
+        order = engine_queue.PlacementRequest(
             self.work.request,
             self.work.service.name,
             self.work.rank,
--- a/eelgrassknot/forwarding/work.py
+++ b/eelgrassknot/forwarding/work.py
@@ -44,7 +44,7 @@
     links: upstream_link.UpstreamLinks
     dialect: dialect.Dialect
     generator: random.Random
-    book: health.HealthBook
+    book: health.HealthTracker
     plain_pool: plain.PlainPool
     desk: 'engine_desk.EngineDesk'
     retry_ratio: float
@@ -57,10 +57,10 @@
         """Return the retry budget of a service."""
         share = self.retry_burst()
         if service not in self.budgets:
-            self.budgets[service] = retry_budget.RetryBudget.of_vm(
+            self.budgets[service] = retry_budget.RetryBudget.for_vm(
                 self.retry_ratio, share
             )
-        self.budgets[service].limit_share(share)
+        self.budgets[service].set_share(share)
         return self.budgets[service]
 
 
--- a/eelgrassknot/frontend/relay.py
+++ b/eelgrassknot/frontend/relay.py
@@ -345,7 +345,7 @@
         request = self.profile.request
         gaps = self.machine.progress.gaps_ms
         if not gaps and self.machine.progress.next_index == 1:
-            tell(policy.FirstTokenSeen(request))
+            tell(policy.FirstTokenReceived(request))
         elif gaps and gaps[-1] > LATE_GAP_MS:
             tell(policy.GapObserved(request, gaps[-1]))
         self.unreported += count
--- a/eelgrassknot/policy/commitments.py
+++ b/eelgrassknot/policy/commitments.py
@@ -99,7 +99,7 @@
         """Count a run no more."""
         self.runs.pop(run, None)
 
-    def take_peer(
+    def update_peer(
         self,
         peer: collections.abc.Hashable,
         sums: dict[ids.UpstreamId, EngineSums],
--- a/eelgrassknot/policy/dispatcher.py
+++ b/eelgrassknot/policy/dispatcher.py
@@ -47,7 +47,7 @@
         self.profiles: dict[ids.RequestId, messages.RequestProfile] = {}
         self.pools: dict[ids.ServiceName, engine_pool.EnginePool] = {}
         self.counters = fairness.TokenCounters()
-        self.book = health.HealthBook()
+        self.book = health.HealthTracker()
         self.plain = plain.PlainPool(region, generator, self.book)
         self.link = region_budget.RegionBudget()
         self.limits = limits.AccountLimits()
@@ -131,17 +131,17 @@
         self, event: messages.Event, now_ms: float
     ) -> list[messages.Action]:
         match event:
-            case messages.UpstreamsKnown(upstreams):
+            case messages.UpstreamsChanged(upstreams):
                 return self._upstreams_known(upstreams, now_ms)
             case messages.ConfigChanged(text):
                 self._configure(text, now_ms)
             case messages.DigestReceived():
                 self._digest(event, now_ms)
-            case messages.CacheEventsSeen():
+            case messages.CacheEventsReceived():
                 self._cache_events(event)
-            case messages.AccountDemandHeard(vm, account, rate):
+            case messages.PeerDemandReceived(vm, account, rate):
                 self.limits.heard(vm, account, rate, now_ms)
-            case messages.EntryVmsKnown(count, zone_count):
+            case messages.VmCountsChanged(count, zone_count):
                 self.vm_count = count
                 self.limits.know_vms(count, zone_count or count, now_ms)
                 self.link.configure(self.link.link, count, now_ms)
@@ -201,14 +201,14 @@
         if profile.kind is states.ServiceKind.PLAIN:
             upstream = self.plain.release(request)
             if complete and upstream is not None:
-                self.book.succeeded(upstream)
+                self.book.record_success(upstream)
             return []
         pool = self._pool(profile.service)
         pool.end(request, complete, now_ms)
         return self._settled(pool.pump(now_ms))
 
     def _failed(self, upstream: ids.UpstreamId, now_ms: float) -> None:
-        self.book.failed(upstream, now_ms)
+        self.book.record_failure(upstream, now_ms)
         for pool in self.pools.values():
             if upstream in pool.views:
                 pool.reach.forget()
@@ -258,7 +258,7 @@
             if view is not None:
                 view.peer(event, now_ms)
 
-    def _cache_events(self, event: messages.CacheEventsSeen) -> None:
+    def _cache_events(self, event: messages.CacheEventsReceived) -> None:
         for pool in self.pools.values():
             if event.upstream in pool.views:
                 pool.affinity.stored(event.upstream, event.stored)
--- a/eelgrassknot/policy/engine_pairs.py
+++ b/eelgrassknot/policy/engine_pairs.py
@@ -12,7 +12,13 @@
 from eelgrassknot import ids
 from eelgrassknot.policy import commitments
 
-__all__ = ['Engine', 'Need', 'Place', 'choose_copy', 'choose_engine']
+__all__ = [
+    'Engine',
+    'RunRequirements',
+    'Location',
+    'choose_copy',
+    'choose_engine',
+]
 
 PREFILL_TOKENS_PER_MS = 14.0
 """Prompt tokens that an engine reads in a ms; from the users' sheets."""
@@ -37,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Place:
+class Location:
     """Where a run is."""
 
     upstream: ids.UpstreamId
@@ -46,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Engine(Place):
+class Engine(Location):
     """An engine that may be given work.
 
     Attributes:
@@ -61,7 +67,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Need:
+class RunRequirements:
     """What a run needs.
 
     Attributes:
@@ -85,7 +91,9 @@
 
 
 def choose_engine(
-    need: Need, engines: collections.abc.Sequence[Engine], sums: Sums
+    need: RunRequirements,
+    engines: collections.abc.Sequence[Engine],
+    sums: Sums,
 ) -> Engine | None:
     """Return the engine for a run, or None while all are full.
 
@@ -104,7 +112,7 @@
 
 def choose_copy(
     tokens: int,
-    primary: Place,
+    primary: Location,
     engines: collections.abc.Sequence[Engine],
     sums: Sums,
     must_fit: bool = True,
@@ -163,7 +171,7 @@
 
 
 def _delay_ms(
-    need: Need,
+    need: RunRequirements,
     engine: Engine,
     engines: collections.abc.Sequence[Engine],
     sums: Sums,
@@ -180,7 +188,7 @@
 
 
 def _risk_ms(
-    need: Need,
+    need: RunRequirements,
     engine: Engine,
     engines: collections.abc.Sequence[Engine],
     sums: Sums,
--- a/eelgrassknot/policy/engine_pool.py
+++ b/eelgrassknot/policy/engine_pool.py
@@ -49,7 +49,7 @@
         region: ids.RegionId,
         generator: random.Random,
         counters: fairness.TokenCounters,
-        book: health.HealthBook,
+        book: health.HealthTracker,
         link: region_budget.RegionBudget,
         options: placement.PlacementOptions,
     ) -> None:
@@ -199,7 +199,7 @@
             self.counters.charge(held.profile.client_account, -unused)
         if complete:
             held.length_class.ended(held.produced, now_ms)
-            self.book.succeeded(view.info.upstream)
+            self.book.record_success(view.info.upstream)
 
     def report(self, load: messages.EngineLoad, now_ms: float) -> None:
         """Take in an engine's load report."""
--- a/eelgrassknot/policy/engine_queue.py
+++ b/eelgrassknot/policy/engine_queue.py
@@ -14,14 +14,14 @@
 from eelgrassknot.policy import engine_pairs
 from eelgrassknot.policy import health
 
-__all__ = ['EngineQueue', 'Order', 'Placement', 'Refusal']
+__all__ = ['EngineQueue', 'PlacementRequest', 'Placement', 'Refusal']
 
 RETRY_AFTER_MS = 1_000.0
 """Retry-After of a refusal while no engine is known; ms."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Order:
+class PlacementRequest:
     """A stream that wants an engine.
 
     Attributes:
@@ -33,9 +33,9 @@
     request: ids.RequestId
     service: ids.ServiceName
     rank: int
-    need: engine_pairs.Need
+    need: engine_pairs.RunRequirements
     failed: frozenset[str]
-    give_up_ms: float
+    deadline_ms: float
 
 
 @dataclasses.dataclass(frozen=True)
@@ -65,21 +65,21 @@
         commitments: What runs where.
     """
 
-    def __init__(self, book: health.HealthBook) -> None:
+    def __init__(self, book: health.HealthTracker) -> None:
         self.book = book
         self.engines: dict[
             ids.ServiceName, collections.abc.Sequence[engine_pairs.Engine]
         ] = {}
         self.commitments = commitments.Commitments()
-        self.waiting: list[tuple[int, int, Order]] = []
+        self.waiting: list[tuple[int, int, PlacementRequest]] = []
         self.arrivals = itertools.count()
 
-    def submit(self, order: Order) -> None:
+    def submit(self, order: PlacementRequest) -> None:
         """Have a stream placed by a later step."""
         self.waiting.append((order.rank, next(self.arrivals), order))
         self.waiting.sort(key=lambda entry: entry[:2])
 
-    def withdraw(self, request: ids.RequestId) -> None:
+    def cancel(self, request: ids.RequestId) -> None:
         """Forget a stream that waits."""
         self.waiting = [
             entry for entry in self.waiting if entry[2].request != request
@@ -105,7 +105,7 @@
                 self._commit(order, engine)
                 sums = self.commitments.all_sums(now_ms)
                 told.append(Placement(order.request, engine))
-            elif now_ms >= order.give_up_ms:
+            elif now_ms >= order.deadline_ms:
                 told.append(Refusal(order.request, RETRY_AFTER_MS))
             else:
                 kept.append(entry)
@@ -115,7 +115,7 @@
     def place_copy(
         self,
         service: ids.ServiceName,
-        primary: engine_pairs.Place,
+        primary: engine_pairs.Location,
         tokens: int,
         refused: frozenset[str],
         must_fit: bool,
@@ -146,7 +146,7 @@
         )
 
     def _candidates(
-        self, order: Order, now_ms: float
+        self, order: PlacementRequest, now_ms: float
     ) -> list[engine_pairs.Engine]:
         engines = [
             engine
@@ -157,7 +157,9 @@
         usable = set(self.book.usable(names, now_ms))
         return [e for e in engines if e.upstream in usable]
 
-    def _commit(self, order: Order, engine: engine_pairs.Engine) -> None:
+    def _commit(
+        self, order: PlacementRequest, engine: engine_pairs.Engine
+    ) -> None:
         self.commitments.commit(
             order.request,
             commitments.Commitment(
--- a/eelgrassknot/policy/health.py
+++ b/eelgrassknot/policy/health.py
@@ -18,7 +18,7 @@
 
 from eelgrassknot import ids
 
-__all__ = ['HealthBook', 'UpstreamHealth']
+__all__ = ['HealthTracker', 'UpstreamHealth']
 
 FAILURES_TO_EJECT = 3
 FIRST_EJECTION_MS = 5_000.0
@@ -76,7 +76,7 @@
             self.tokens *= 0.5
             self.span_ms *= 0.5
 
-    def is_mute(self, now_ms: float) -> bool:
+    def is_unresponsive(self, now_ms: float) -> bool:
         """Return whether it answers nobody."""
         if self.unheard_ms is None:
             return False
@@ -91,7 +91,7 @@
         return START_ALLOWANCE * 2.0**doublings
 
 
-class HealthBook:
+class HealthTracker:
     """Health of all upstreams that a VM uses."""
 
     def __init__(self) -> None:
@@ -132,7 +132,7 @@
         ejected = []
         for upstream in upstreams:
             until_ms = self._ejected_until(upstream, now_ms)
-            if until_ms is None and self.is_mute(upstream, now_ms):
+            if until_ms is None and self.is_unresponsive(upstream, now_ms):
                 until_ms = now_ms + MUTE_MS
             if until_ms is None:
                 healthy.append(upstream)
@@ -145,34 +145,36 @@
             healthy.extend(upstream for _, upstream in ejected[:missing])
         return healthy
 
-    def failed(self, upstream: ids.UpstreamId, now_ms: float) -> None:
+    def record_failure(self, upstream: ids.UpstreamId, now_ms: float) -> None:
         """Count a failed attempt to use an upstream."""
         health = self.ensure(upstream, now_ms, False)
         health.failures += 1
         if health.failures >= FAILURES_TO_EJECT:
             self._eject(health, now_ms)
 
-    def succeeded(self, upstream: ids.UpstreamId) -> None:
+    def record_success(self, upstream: ids.UpstreamId) -> None:
         """Count an answer, which ends a row of failures."""
         health = self.upstreams.get(upstream)
         if health is not None:
             health.failures = 0
 
-    def asked(self, upstream: ids.UpstreamId, now_ms: float) -> None:
+    def request_sent(self, upstream: ids.UpstreamId, now_ms: float) -> None:
         """Count a call that an upstream is to answer."""
         health = self.ensure(upstream, now_ms, False)
         health.asked += 1
         if health.unheard_ms is None:
             health.unheard_ms = now_ms
 
-    def heard(self, upstream: ids.UpstreamId, now_ms: float) -> None:
+    def response_started(
+        self, upstream: ids.UpstreamId, now_ms: float
+    ) -> None:
         """Count the first bytes of an answer."""
         health = self.upstreams.get(upstream)
         if health is not None:
             health.asked = max(0, health.asked - 1)
             health.unheard_ms = now_ms if health.asked else None
 
-    def abandoned(self, upstream: ids.UpstreamId) -> None:
+    def request_abandoned(self, upstream: ids.UpstreamId) -> None:
         """Count a call that waits no longer for its answer."""
         health = self.upstreams.get(upstream)
         if health is not None:
@@ -180,10 +182,10 @@
             if not health.asked:
                 health.unheard_ms = None
 
-    def is_mute(self, upstream: ids.UpstreamId, now_ms: float) -> bool:
+    def is_unresponsive(self, upstream: ids.UpstreamId, now_ms: float) -> bool:
         """Return whether an upstream answers nobody at this time."""
         health = self.upstreams.get(upstream)
-        return health is not None and health.is_mute(now_ms)
+        return health is not None and health.is_unresponsive(now_ms)
 
     def eject(self, upstream: ids.UpstreamId, now_ms: float) -> None:
         """Eject an upstream on evidence that needs no repetition."""
--- a/eelgrassknot/policy/messages.py
+++ b/eelgrassknot/policy/messages.py
@@ -9,17 +9,17 @@
 
 __all__ = [
     'AccountDemand',
-    'AccountDemandHeard',
+    'PeerDemandReceived',
     'Action',
     'Announcement',
-    'CacheEventsSeen',
+    'CacheEventsReceived',
     'ConfigChanged',
     'DigestReceived',
     'Dispatch',
     'EngineLoad',
-    'EntryVmsKnown',
+    'VmCountsChanged',
     'Event',
-    'FirstTokenSeen',
+    'FirstTokenReceived',
     'GapObserved',
     'LoadReported',
     'Refuse',
@@ -32,7 +32,7 @@
     'TokensProduced',
     'UpstreamFailed',
     'UpstreamShare',
-    'UpstreamsKnown',
+    'UpstreamsChanged',
 ]
 
 
@@ -102,7 +102,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FirstTokenSeen:
+class FirstTokenReceived:
     """The first token of a dispatched request has come."""
 
     request: ids.RequestId
@@ -172,7 +172,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AccountDemandHeard:
+class PeerDemandReceived:
     """A peer said how much of its traffic a client account makes."""
 
     vm: ids.VmId
@@ -181,7 +181,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EntryVmsKnown:
+class VmCountsChanged:
     """How many entry VMs, this one among them, share limits and link.
 
     Attributes:
@@ -195,7 +195,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CacheEventsSeen:
+class CacheEventsReceived:
     """Prefixes that an engine stored or evicted; late, with gaps."""
 
     upstream: ids.UpstreamId
@@ -204,7 +204,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class UpstreamsKnown:
+class UpstreamsChanged:
     """The whole set of upstreams, as the membership knows it."""
 
     upstreams: tuple[kernel_events.UpstreamInfo, ...]
@@ -226,17 +226,17 @@
     RequestArrived
     | RetryRequested
     | RequestCancelled
-    | FirstTokenSeen
+    | FirstTokenReceived
     | TokensProduced
     | GapObserved
     | RequestEnded
     | UpstreamFailed
     | LoadReported
     | DigestReceived
-    | AccountDemandHeard
-    | EntryVmsKnown
-    | CacheEventsSeen
-    | UpstreamsKnown
+    | PeerDemandReceived
+    | VmCountsChanged
+    | CacheEventsReceived
+    | UpstreamsChanged
     | ConfigChanged
     | Tick
 )
--- a/eelgrassknot/policy/placement.py
+++ b/eelgrassknot/policy/placement.py
@@ -123,7 +123,7 @@
         views: Sequence[engine_view.EngineView],
         knobs: objective.Knobs,
         affinity: prefix.PrefixAffinity,
-        book: health.HealthBook,
+        book: health.HealthTracker,
         now_ms: float,
     ) -> engine_view.EngineView | None:
         """Return the engine for a request, or None if all are crowded.
--- a/eelgrassknot/policy/retry_budget.py
+++ b/eelgrassknot/policy/retry_budget.py
@@ -19,7 +19,7 @@
 
     Args:
         retries_per_request: What one request earns.
-        max_saved: Retries that are saved at most.
+        max_balance: Retries that are saved at most.
         saved: Retries that may be made at the start, or None for as many
             as are saved at most.
 
@@ -30,15 +30,15 @@
     def __init__(
         self,
         retries_per_request: float = RETRIES_PER_REQUEST,
-        max_saved: float = MAX_SAVED_RETRIES,
+        max_balance: float = MAX_SAVED_RETRIES,
         saved: float | None = None,
     ) -> None:
         self.retries_per_request = retries_per_request
-        self.max_saved = max_saved
-        self.saved = max_saved if saved is None else saved
+        self.max_balance = max_balance
+        self.saved = max_balance if saved is None else saved
 
     @classmethod
-    def of_vm(cls, retries_per_request: float, share: float) -> 'RetryBudget':
+    def for_vm(cls, retries_per_request: float, share: float) -> 'RetryBudget':
         """Return the budget of a VM that has just started.
 
         It starts with a part of the VM's share and never saves the rest of
@@ -49,28 +49,30 @@
             share: This VM's share of the burst that all VMs may make.
 
         Example:
-            >>> RetryBudget.of_vm(0.2, 8.0).saved
+            >>> RetryBudget.for_vm(0.2, 8.0).saved
             2.0
         """
         kept = share * (1 - START_SHARE)
         return cls(retries_per_request, kept, share * START_SHARE)
 
-    def limit_share(self, share: float) -> None:
+    def set_share(self, share: float) -> None:
         """Follow a change of this VM's share of the burst."""
-        self.limit(share * (1 - START_SHARE))
+        self.set_max_balance(share * (1 - START_SHARE))
 
-    def limit(self, max_saved: float) -> None:
+    def set_max_balance(self, max_balance: float) -> None:
         """Change how many retries are saved at most.
 
         Args:
-            max_saved: This VM's share of what all VMs may save.
+            max_balance: This VM's share of what all VMs may save.
         """
-        self.max_saved = max_saved
-        self.saved = min(self.saved, max_saved)
+        self.max_balance = max_balance
+        self.saved = min(self.saved, max_balance)
 
     def earn(self) -> None:
         """Count a first attempt."""
-        self.saved = min(self.max_saved, self.saved + self.retries_per_request)
+        self.saved = min(
+            self.max_balance, self.saved + self.retries_per_request
+        )
 
     def spend(self) -> bool:
         """Return whether a retry may be made, and count it if so."""
--- a/tests/peer_world.py
+++ b/tests/peer_world.py
@@ -61,7 +61,7 @@
         self.sent = collections.Counter()
         self.roster = peer_roster.PeerRoster(vm, zone)
         loop = world.loop
-        book = health.HealthBook()
+        book = health.HealthTracker()
         region = world.regions[zone]
         self.desk = engine_desk.EngineDesk(loop, region, book)
         pool = plain.PlainPool(region, random.Random(1), book)
--- a/tests/steps/policy_dispatcher.py
+++ b/tests/steps/policy_dispatcher.py
@@ -94,7 +94,7 @@
     )
     feed(context, messages.ConfigChanged(text()))
     known = tuple(upstream(name) for name in context.names)
-    feed(context, messages.UpstreamsKnown(known))
+    feed(context, messages.UpstreamsChanged(known))
     for name in context.names:
         feed(context, messages.LoadReported(load(name, tokens)))
 
@@ -213,7 +213,7 @@
 def leaving_and_withheld(context):
     first, second, third = context.names
     known = (upstream(first, live=False), upstream(second), upstream(third))
-    feed(context, messages.UpstreamsKnown(known))
+    feed(context, messages.UpstreamsChanged(known))
     feed(context, messages.ConfigChanged(text(withheld=(second,))))
 
 
@@ -262,7 +262,7 @@
 def given_plain(context, count):
     kind = states.ServiceKind.PLAIN
     known = tuple(upstream(f'desk-{n}', kind) for n in range(count))
-    feed(context, messages.UpstreamsKnown(known))
+    feed(context, messages.UpstreamsChanged(known))
 
 
 @behave.when('{count:d} plain calls are made one after another')
@@ -304,7 +304,7 @@
 def far_engine(context, tokens):
     far = dataclasses.replace(upstream('far'), region='mainland')
     known = tuple(upstream(name) for name in context.names)
-    feed(context, messages.UpstreamsKnown((*known, far)))
+    feed(context, messages.UpstreamsChanged((*known, far)))
     feed(context, messages.LoadReported(load('far', tokens)))
     context.now_ms += 60_000.0
 
--- a/tests/steps/policy_engine_pairs.py
+++ b/tests/steps/policy_engine_pairs.py
@@ -19,7 +19,7 @@
 
 def _need(context, prompt, output=0, wants_copy=False):
     region = getattr(context, 'vm_region', 'r')
-    return engine_pairs.Need(region, prompt, output, wants_copy)
+    return engine_pairs.RunRequirements(region, prompt, output, wants_copy)
 
 
 def _set(context, names, tokens):
@@ -83,7 +83,7 @@
 
 
 def _copy(context, tokens, source, must_fit):
-    place = engine_pairs.Place(source, 'r', 'z')
+    place = engine_pairs.Location(source, 'r', 'z')
     return engine_pairs.choose_copy(
         tokens, place, context.engines, context.sums, must_fit
     )
@@ -123,7 +123,7 @@
     context.book = commitments.Commitments()
     context.book.commit('r1', commitments.Commitment('a', None, 100, 50))
     theirs = {'a': commitments.EngineSums(2, 500, 0, 0)}
-    context.book.take_peer('p', theirs, 0.0)
+    context.book.update_peer('p', theirs, 0.0)
 
 
 @behave.then('the sums of engine a at {now_ms:d} ms hold the runs of both')
@@ -161,7 +161,7 @@
         if told:
             for other, book in enumerate(books):
                 if other != vm:
-                    book.take_peer(f'v{vm}', books[vm].own_sums(), now_ms)
+                    book.update_peer(f'v{vm}', books[vm].own_sums(), now_ms)
     counts = [
         sum(
             run.upstream == engine.upstream
@@ -196,14 +196,14 @@
 
 @behave.given('a queue in which a rank-1 and then a rank-0 run wait')
 def waiting_queue(context):
-    context.queue = engine_queue.EngineQueue(health.HealthBook())
+    context.queue = engine_queue.EngineQueue(health.HealthTracker())
     for rank in (1, 0):
         context.queue.submit(
-            engine_queue.Order(
+            engine_queue.PlacementRequest(
                 ids.RequestId(f'q{rank}'),
                 SERVICE,
                 rank,
-                engine_pairs.Need('r', 900, 0, False),
+                engine_pairs.RunRequirements('r', 900, 0, False),
                 frozenset(),
                 5_000.0,
             )
--- a/tests/steps/policy_health.py
+++ b/tests/steps/policy_health.py
@@ -12,7 +12,7 @@
 def given_upstreams(context):
     context.now_ms = 0.0
     context.names = list('abcd')
-    context.book = health.HealthBook()
+    context.book = health.HealthTracker()
     for name in context.names:
         context.book.ensure(name, 0.0, False)
 
@@ -21,20 +21,20 @@
 def upstream_fails(context, name, rest):
     for word in ('fails' + rest).split(', '):
         if word == 'fails':
-            context.book.failed(name, context.now_ms)
+            context.book.record_failure(name, context.now_ms)
         else:
-            context.book.succeeded(name)
+            context.book.record_success(name)
 
 
 @behave.when('"{name}" fails')
 def upstream_fails_once(context, name):
-    context.book.failed(name, context.now_ms)
+    context.book.record_failure(name, context.now_ms)
 
 
 @behave.when('all four fail three times')
 def all_fail(context):
     for name in context.names * 3:
-        context.book.failed(name, context.now_ms)
+        context.book.record_failure(name, context.now_ms)
 
 
 @behave.when('{span_ms:d} ms of ejection pass')
--- a/tests/steps/policy_offering.py
+++ b/tests/steps/policy_offering.py
@@ -51,7 +51,7 @@
         )
         for name in names.split()
     )
-    context.dispatcher.handle(messages.UpstreamsKnown(upstreams), 0.0)
+    context.dispatcher.handle(messages.UpstreamsChanged(upstreams), 0.0)
 
 
 @behave.when('the upstream of "{name}" is withheld')
--- a/tests/steps/policy_small_parts.py
+++ b/tests/steps/policy_small_parts.py
@@ -243,7 +243,7 @@
 )
 def shrunk_budget(context, full, share, limit):
     context.budget = retry_budget.RetryBudget(0.2, full)
-    context.budget.limit(limit)
+    context.budget.set_max_balance(limit)
     assert _spend_all(context.budget) == share
 
 
@@ -256,7 +256,7 @@
     assert _spend_all(context.budget) == retries
     for _ in range(10 * requests):
         context.budget.earn()
-    assert _spend_all(context.budget) == context.budget.max_saved
+    assert _spend_all(context.budget) == context.budget.max_balance
 
 
 def _spend_all(budget):
@@ -274,7 +274,7 @@
     context.burst, context.ratio = burst, ratio
 
     context.start = lambda: [
-        retry_budget.RetryBudget.of_vm(ratio, burst / vms) for _ in range(vms)
+        retry_budget.RetryBudget.for_vm(ratio, burst / vms) for _ in range(vms)
     ]
 
 
@@ -317,16 +317,16 @@
 
 @behave.given('a book of {count:d} upstreams of which u1 is asked at 0 ms')
 def book_of(context, count):
-    context.book = health.HealthBook()
+    context.book = health.HealthTracker()
     context.names = [f'u{number}' for number in range(1, count + 1)]
-    context.book.asked('u1', 0.0)
+    context.book.request_sent('u1', 0.0)
 
 
 @behave.given('a book of {count:d} upstreams that are all asked at 0 ms')
 def book_of_asked(context, count):
     book_of(context, count)
     for name in context.names[1:]:
-        context.book.asked(name, 0.0)
+        context.book.request_sent(name, 0.0)
 
 
 @behave.then('u1 is usable at {now:d} ms and not at {later:d} ms')
@@ -343,7 +343,7 @@
 
 @behave.when('u1 begins to answer at {now:d} ms')
 def begins_to_answer(context, now):
-    context.book.heard('u1', now)
+    context.book.response_started('u1', now)
 
 
 @behave.when(
@@ -353,9 +353,9 @@
 def asked_again(context, gap, delay):
     context.usable = []
     for now in range(gap, 30 * gap, gap):
-        context.book.asked('u1', now)
+        context.book.request_sent('u1', now)
         if now >= delay:
-            context.book.heard('u1', now)
+            context.book.response_started('u1', now)
         context.usable.append('u1' in context.book.usable(context.names, now))
 
 
