--- a/eelgrassknot/entry.py
+++ b/eelgrassknot/entry.py
@@ -17,17 +17,17 @@
 from eelgrassknot.forwarding import caller_connection
 from eelgrassknot.forwarding import connection as connections
 from eelgrassknot.forwarding import dialect as dialects
-from eelgrassknot.forwarding import directory as directories
-from eelgrassknot.forwarding import engine_desk
+from eelgrassknot.forwarding import engine_scheduler
 from eelgrassknot.forwarding import forwarder as forwarders
-from eelgrassknot.forwarding import knowledge
+from eelgrassknot.forwarding import load_publisher
 from eelgrassknot.forwarding import loop as loops
 from eelgrassknot.forwarding import metrics
 from eelgrassknot.forwarding import model
-from eelgrassknot.forwarding import peer_news
-from eelgrassknot.forwarding import peer_tally
+from eelgrassknot.forwarding import peer_load
+from eelgrassknot.forwarding import replicated_state
 from eelgrassknot.forwarding import settings_reload
-from eelgrassknot.forwarding import upstream_link
+from eelgrassknot.forwarding import upstream_connection
+from eelgrassknot.forwarding import upstream_directory
 from eelgrassknot.forwarding import work as works
 from eelgrassknot.forwarding import zone_digests
 from eelgrassknot import ids
@@ -53,7 +53,7 @@
 """Time before the end of the grace in which this process ends; ms."""
 
 
-class EntryDaemon(knowledge.Listener):
+class EntryDaemon(replicated_state.Listener):
     """All that one entry VM does.
 
     Args:
@@ -72,14 +72,14 @@
         self.loop = loops.EventLoop(clocks.BootClock())
         book = health.HealthBook()
         region = ids.RegionId(settings.region)
-        self.desk = engine_desk.EngineDesk(self.loop, region, book)
+        self.desk = engine_scheduler.EngineDesk(self.loop, region, book)
         self.plain_pool = plain.PlainPool(region, self.generator, book)
-        self.knowledge = knowledge.Knowledge(
+        self.knowledge = replicated_state.Knowledge(
             settings, dialect, self.loop, self.generator, self
         )
         self.context = works.Context(
             loop=self.loop,
-            links=upstream_link.UpstreamLinks(self.loop),
+            links=upstream_connection.UpstreamLinks(self.loop),
             dialect=dialect,
             generator=self.generator,
             book=book,
@@ -91,10 +91,10 @@
         self.forwarder = forwarders.Forwarder(
             self.context, self.knowledge.access_book, self.generator
         )
-        self.tally = peer_tally.PeerTally(
-            self.desk, self.plain_pool, self.loop
+        self.tally = peer_load.PeerTally(self.desk, self.plain_pool, self.loop)
+        self.news = load_publisher.PeerNews(
+            self.knowledge, self.tally, self.loop
         )
-        self.news = peer_news.PeerNews(self.knowledge, self.tally, self.loop)
         self.zone_digests = zone_digests.ZoneDigests(
             self.knowledge, self.tally, self.loop
         )
@@ -204,7 +204,7 @@
         self.forwarder.adopt(state)
 
     def upstreams_changed(
-        self, directory: directories.UpstreamDirectory
+        self, directory: upstream_directory.UpstreamDirectory
     ) -> None:
         """Put the upstreams that are listed now in use."""
         services = {}
--- a/eelgrassknot/forwarding/call_driver.py
+++ b/eelgrassknot/forwarding/call_driver.py
@@ -4,12 +4,12 @@
 
 from eelgrassknot import clock as clocks
 from eelgrassknot.forwarding import dialect
+from eelgrassknot.forwarding import error_responses
 from eelgrassknot.forwarding import loop as loops
 from eelgrassknot.forwarding import machine_driver
 from eelgrassknot.forwarding import metrics
 from eelgrassknot.forwarding import model
-from eelgrassknot.forwarding import refusals
-from eelgrassknot.forwarding import upstream_link
+from eelgrassknot.forwarding import upstream_connection
 from eelgrassknot.forwarding import work as works
 from eelgrassknot import ids
 from eelgrassknot.kernel import events as kernel_events
@@ -29,7 +29,9 @@
 _NO_RETRIED_STATUSES: frozenset[int] = frozenset()
 
 
-class CallDriver(machine_driver.MachineDriver, upstream_link.AttemptListener):
+class CallDriver(
+    machine_driver.MachineDriver, upstream_connection.AttemptListener
+):
     """Drives the state machine of one call.
 
     Args:
@@ -53,7 +55,7 @@
             ),
         )
         super().__init__(context, work, machine)
-        self.attempt: upstream_link.Attempt | None = None
+        self.attempt: upstream_connection.Attempt | None = None
         self.upstream: model.Upstream | None = None
         self.status = 0
         self.answer_headers: list[tuple[bytes, bytes]] = []
@@ -73,7 +75,7 @@
 
     def answer_started(
         self,
-        attempt: upstream_link.Attempt,
+        attempt: upstream_connection.Attempt,
         status: int,
         headers: list[tuple[bytes, bytes]],
     ) -> None:
@@ -83,7 +85,9 @@
         self.answer_headers = headers
         self.body = bytearray()
 
-    def answer_data(self, attempt: upstream_link.Attempt, data: bytes) -> None:
+    def answer_data(
+        self, attempt: upstream_connection.Attempt, data: bytes
+    ) -> None:
         """Take in a part of its body."""
         if self.passing:
             self.work.exchange.send(data)
@@ -92,7 +96,7 @@
         if len(self.body) > MAX_BUFFERED_BYTES and self._is_usable():
             self._start_passing()
 
-    def answer_ended(self, attempt: upstream_link.Attempt) -> None:
+    def answer_ended(self, attempt: upstream_connection.Attempt) -> None:
         """Take in that the answer is complete."""
         if self.passing:
             self.work.exchange.finish()
@@ -111,7 +115,9 @@
                 upstream=self.upstream.upstream,
                 status=self.status,
             )
-            self.attempt_failed(attempt, upstream_link.Fault.MALFORMED, True)
+            self.attempt_failed(
+                attempt, upstream_connection.Fault.MALFORMED, True
+            )
             return
         self._judge_upstream(self.status < 500)
         answer = messages.ForwardedAnswer(
@@ -124,8 +130,8 @@
 
     def attempt_failed(
         self,
-        attempt: upstream_link.Attempt,
-        fault: upstream_link.Fault,
+        attempt: upstream_connection.Attempt,
+        fault: upstream_connection.Fault,
         bytes_left: bool,
     ) -> None:
         """Take in that the attempt will not be answered."""
@@ -222,7 +228,7 @@
         attempt.cancel()
         self._eject_if_mute()
         self.attempt_failed(
-            attempt, upstream_link.Fault.BROKEN, attempt.bytes_left
+            attempt, upstream_connection.Fault.BROKEN, attempt.bytes_left
         )
 
     def _answer(self, end: messages.EndCall) -> None:
@@ -234,12 +240,12 @@
                 end.answer.body,
             )
         elif end.outcome is states.Outcome.NOT_RUN:
-            refusals.refuse(
+            error_responses.refuse(
                 exchange, 503, end.outcome, end.reason, end.retry_after_ms
             )
         else:
             late = end.reason == 'deadline'
-            refusals.refuse(
+            error_responses.refuse(
                 exchange, 504 if late else 502, end.outcome, end.reason
             )
         self._end(end.reason)
--- a/eelgrassknot/forwarding/forwarder.py
+++ b/eelgrassknot/forwarding/forwarder.py
@@ -6,9 +6,9 @@
 from eelgrassknot.forwarding import call_driver
 from eelgrassknot.forwarding import caller_connection
 from eelgrassknot.forwarding import dialect as dialects
+from eelgrassknot.forwarding import error_responses
 from eelgrassknot.forwarding import metrics
 from eelgrassknot.forwarding import model
-from eelgrassknot.forwarding import refusals
 from eelgrassknot.forwarding import routing
 from eelgrassknot.forwarding import state_check
 from eelgrassknot.forwarding import stream_driver
@@ -190,4 +190,6 @@
         if status == 503:
             outcome = states.Outcome.NOT_RUN
             retry_after_ms = RETRY_AFTER_MS
-        refusals.refuse(exchange, status, outcome, reason, retry_after_ms)
+        error_responses.refuse(
+            exchange, status, outcome, reason, retry_after_ms
+        )
--- a/eelgrassknot/forwarding/run_move.py
+++ b/eelgrassknot/forwarding/kv_transfer.py
@@ -5,7 +5,7 @@
 
 
 from eelgrassknot.forwarding import model
-from eelgrassknot.forwarding import upstream_link
+from eelgrassknot.forwarding import upstream_connection
 from eelgrassknot.forwarding import work as works
 from eelgrassknot import ids
 
@@ -24,7 +24,7 @@
     target: model.Upstream
 
 
-class RunMove(upstream_link.AttemptListener):
+class RunMove(upstream_connection.AttemptListener):
     """Calls the source and waits for the copy.
 
     Args:
@@ -54,7 +54,7 @@
         self.timer = context.loop.call_later(
             MOVE_TIMEOUT_MS, lambda: self._end(None)
         )
-        self.attempt = upstream_link.Attempt(
+        self.attempt = upstream_connection.Attempt(
             context.links,
             None,
             plan.source.address,
@@ -74,25 +74,27 @@
 
     def answer_started(
         self,
-        attempt: upstream_link.Attempt,
+        attempt: upstream_connection.Attempt,
         status: int,
         headers: list[tuple[bytes, bytes]],
     ) -> None:
         """Take in the head of the answer."""
         self.status = status
 
-    def answer_data(self, attempt: upstream_link.Attempt, data: bytes) -> None:
+    def answer_data(
+        self, attempt: upstream_connection.Attempt, data: bytes
+    ) -> None:
         """Take in a part of its body."""
         self.body += data
 
-    def answer_ended(self, attempt: upstream_link.Attempt) -> None:
+    def answer_ended(self, attempt: upstream_connection.Attempt) -> None:
         """Take in that the answer is complete."""
         self._end(self.context.dialect.decode_move(self.status, self.body))
 
     def attempt_failed(
         self,
-        attempt: upstream_link.Attempt,
-        fault: upstream_link.Fault,
+        attempt: upstream_connection.Attempt,
+        fault: upstream_connection.Fault,
         bytes_left: bool,
     ) -> None:
         """Take in that no answer will come."""
--- a/eelgrassknot/forwarding/peer_news.py
+++ b/eelgrassknot/forwarding/load_publisher.py
@@ -2,9 +2,9 @@
 
 from eelgrassknot import clock as clocks
 from eelgrassknot.coordination import peer_messages as messages
-from eelgrassknot.forwarding import knowledge as knowledges
 from eelgrassknot.forwarding import loop as loops
-from eelgrassknot.forwarding import peer_tally
+from eelgrassknot.forwarding import peer_load
+from eelgrassknot.forwarding import replicated_state
 from eelgrassknot import ids
 
 __all__ = ['PeerNews']
@@ -35,8 +35,8 @@
 
     def __init__(
         self,
-        knowledge: knowledges.Knowledge,
-        tally: peer_tally.PeerTally,
+        knowledge: replicated_state.Knowledge,
+        tally: peer_load.PeerTally,
         loop: loops.EventLoop,
     ) -> None:
         self.knowledge = knowledge
@@ -83,7 +83,7 @@
                 ),
                 self.leaving,
                 self.knowledge.marks(),
-                peer_tally.engine_entries(sums),
+                peer_load.engine_entries(sums),
                 tuple(self.tally.running_calls().items()),
             )
         )
--- a/eelgrassknot/forwarding/overview.py
+++ b/eelgrassknot/forwarding/overview.py
@@ -8,8 +8,8 @@
 from eelgrassknot import exceptions
 from eelgrassknot.forwarding import dialect as dialects
 from eelgrassknot.forwarding import model
-from eelgrassknot.forwarding import peer_board
-from eelgrassknot.forwarding import peer_roster
+from eelgrassknot.forwarding import peer_discovery
+from eelgrassknot.forwarding import peer_membership
 from eelgrassknot.forwarding import row_store
 from eelgrassknot import ids
 
@@ -70,7 +70,7 @@
     for table in (
         dialect.config_table,
         dialect.upstreams_table,
-        peer_board.VMS_TABLE,
+        peer_discovery.VMS_TABLE,
     ):
         page = store.read_table(table)
         if isinstance(page, result.Err):
@@ -122,7 +122,7 @@
 
 def _vm_line(row: row_store.StoreRow) -> VmLine:
     try:
-        found = msgspec.json.decode(row.value, type=peer_roster.VmRow)
+        found = msgspec.json.decode(row.value, type=peer_membership.VmRow)
     except msgspec.MsgspecError:
         # Shown as it is: the VMs themselves log why they leave it out.
         return VmLine(row.key, '', UNREADABLE)
--- a/eelgrassknot/forwarding/peer_board.py
+++ b/eelgrassknot/forwarding/peer_discovery.py
@@ -16,7 +16,7 @@
 from eelgrassknot.coordination import peer_codec
 from eelgrassknot.coordination import peer_link
 from eelgrassknot.coordination import peer_messages as messages
-from eelgrassknot.forwarding import peer_roster
+from eelgrassknot.forwarding import peer_membership
 from eelgrassknot.forwarding import row_store
 from eelgrassknot import ids
 from eelgrassknot import logs
@@ -70,8 +70,8 @@
         prepare: collections.abc.Callable[[peer_link.PeerLink], None],
     ) -> None:
         self.vm = vm
-        self.roster = peer_roster.PeerRoster(vm, availability_zone)
-        self.row = peer_roster.VmRow(address, availability_zone)
+        self.roster = peer_membership.PeerRoster(vm, availability_zone)
+        self.row = peer_membership.VmRow(address, availability_zone)
         self.store = store
         self.clock = clock
         self.prepare = prepare
@@ -214,7 +214,7 @@
         for row in page.rows:
             try:
                 listed[row.key] = msgspec.json.decode(
-                    row.value, type=peer_roster.VmRow
+                    row.value, type=peer_membership.VmRow
                 )
             except msgspec.MsgspecError as error:
                 logs.warning('peer_unreadable', vm=row.key, why=str(error))
--- a/eelgrassknot/forwarding/peer_tally.py
+++ b/eelgrassknot/forwarding/peer_load.py
@@ -4,7 +4,7 @@
 import collections.abc
 
 from eelgrassknot.coordination import peer_messages as messages
-from eelgrassknot.forwarding import engine_desk
+from eelgrassknot.forwarding import engine_scheduler
 from eelgrassknot.forwarding import loop as loops
 from eelgrassknot import ids
 from eelgrassknot.policy import commitments
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        desk: engine_desk.EngineDesk,
+        desk: engine_scheduler.EngineDesk,
         plain_pool: plain.PlainPool,
         loop: loops.EventLoop,
     ) -> None:
--- a/eelgrassknot/forwarding/knowledge.py
+++ b/eelgrassknot/forwarding/replicated_state.py
@@ -15,13 +15,13 @@
 from eelgrassknot.coordination import rendezvous
 from eelgrassknot.forwarding import access
 from eelgrassknot.forwarding import dialect as dialects
-from eelgrassknot.forwarding import directory as directories
 from eelgrassknot.forwarding import loop as loops
 from eelgrassknot.forwarding import model
-from eelgrassknot.forwarding import peer_board
+from eelgrassknot.forwarding import peer_discovery
 from eelgrassknot.forwarding import row_store
-from eelgrassknot.forwarding import store_watch
-from eelgrassknot.forwarding import table_mirror
+from eelgrassknot.forwarding import table_replica
+from eelgrassknot.forwarding import table_watch
+from eelgrassknot.forwarding import upstream_directory
 from eelgrassknot import ids
 from eelgrassknot import logs
 from eelgrassknot.settings import entry as entry_settings
@@ -58,7 +58,7 @@
         """A state was read."""
 
     def upstreams_changed(
-        self, directory: directories.UpstreamDirectory
+        self, directory: upstream_directory.UpstreamDirectory
     ) -> None:
         """The upstreams have changed."""
 
@@ -76,9 +76,9 @@
 class _Table:
     """One table and what is done with its changes."""
 
-    mirror: table_mirror.TableMirror
-    apply: collections.abc.Callable[[table_mirror.Changes], None]
-    watch: store_watch.TableWatch | None = None
+    mirror: table_replica.TableMirror
+    apply: collections.abc.Callable[[table_replica.Changes], None]
+    watch: table_watch.TableWatch | None = None
     fetching: bool = False
     is_watched: bool = True
 
@@ -114,20 +114,20 @@
         self.listener = listener
         self.store_clock = access.StoreClock()
         self.access_book = access.AccessBook(settings.rules.revoke_ms)
-        self.directory = directories.UpstreamDirectory(self._leaving)
+        self.directory = upstream_directory.UpstreamDirectory(self._leaving)
         self.settled_ms = float('-inf')
         self.tables = {
             dialect.config_table: _Table(
-                table_mirror.TableMirror(), self._apply_config
+                table_replica.TableMirror(), self._apply_config
             ),
             dialect.upstreams_table: _Table(
-                table_mirror.TableMirror(), self._apply_upstreams
+                table_replica.TableMirror(), self._apply_upstreams
             ),
         }
         waits = (CONFIG_WAIT_MS, UPSTREAMS_WAIT_MS)
         for name, wait_ms in zip(self.tables, waits, strict=True):
             self.tables[name].watch = self._watch(name, wait_ms)
-        self.board = peer_board.PeerBoard(
+        self.board = peer_discovery.PeerBoard(
             ids.VmId(settings.vm),
             ids.AvailabilityZoneId(settings.availability_zone),
             settings.listen.peers,
@@ -177,9 +177,9 @@
 
     # The store
 
-    def _watch(self, name: str, wait_ms: float) -> store_watch.TableWatch:
+    def _watch(self, name: str, wait_ms: float) -> table_watch.TableWatch:
         table = self.tables[name]
-        return store_watch.TableWatch(
+        return table_watch.TableWatch(
             self.dialect.open_store(self.settings.listen.store),
             name,
             wait_ms,
@@ -191,14 +191,14 @@
             functools.partial(_position, table),
         )
 
-    def _take_news(self, news: store_watch.News) -> None:
+    def _take_news(self, news: table_watch.News) -> None:
         match news:
-            case store_watch.WatchFailed(table, error, True):
+            case table_watch.WatchFailed(table, error, True):
                 logs.warning('store_lost', table=table, why=str(error))
-            case store_watch.TableNews():
+            case table_watch.TableNews():
                 self._take_page(news)
 
-    def _take_page(self, news: store_watch.TableNews) -> None:
+    def _take_page(self, news: table_watch.TableNews) -> None:
         if news.returned:
             logs.event('store_regained', table=news.table)
             self.directory.store_returned(self.loop.now_ms())
@@ -213,7 +213,7 @@
         # Before the watch's thread decides on its next call.
         table.watch.wanted = self._should_watch(news.table)
 
-    def _apply(self, name: str, changes: table_mirror.Changes | None) -> None:
+    def _apply(self, name: str, changes: table_replica.Changes | None) -> None:
         table = self.tables[name]
         if changes is not None and (changes.put or changes.removed):
             table.apply(changes)
@@ -221,7 +221,7 @@
             as_of_ms = self.store_clock.local_ms(table.mirror.mark.store_ms)
             self.access_book.confirm(as_of_ms)
 
-    def _apply_config(self, changes: table_mirror.Changes) -> None:
+    def _apply_config(self, changes: table_replica.Changes) -> None:
         for row in changes.put:
             if row.key != self.dialect.config_key:
                 continue
@@ -232,7 +232,7 @@
                 case result.Err(error):
                     logs.error('state_unreadable', why=str(error))
 
-    def _apply_upstreams(self, changes: table_mirror.Changes) -> None:
+    def _apply_upstreams(self, changes: table_replica.Changes) -> None:
         now_ms = self.loop.now_ms()
         for key in changes.removed:
             self.directory.remove(key, now_ms)
@@ -289,7 +289,9 @@
             table = self.tables.get(told.table)
             if table is None:
                 continue
-            mark = table_mirror.Mark(told.version, told.changed, told.store_ms)
+            mark = table_replica.Mark(
+                told.version, told.changed, told.store_ms
+            )
             if table.mirror.confirm(mark):
                 self._apply(told.table, None)
             elif not table.fetching:
@@ -375,7 +377,7 @@
         return age_ms > stale_ms + min(rank, STALE_RANKS) * STALE_RANK_MS
 
 
-_NOTHING = table_mirror.Mark(0, 0, 0.0)
+_NOTHING = table_replica.Mark(0, 0, 0.0)
 
 
 def _position(table: _Table) -> int | None:
@@ -384,5 +386,5 @@
     return None if mark is None else mark.version
 
 
-def _told_mark(name: str, mark: table_mirror.Mark) -> messages.TableMark:
+def _told_mark(name: str, mark: table_replica.Mark) -> messages.TableMark:
     return messages.TableMark(name, mark.version, mark.changed, mark.store_ms)
--- a/eelgrassknot/forwarding/stream_driver.py
+++ b/eelgrassknot/forwarding/stream_driver.py
@@ -4,13 +4,13 @@
 
 from eelgrassknot import clock as clocks
 from eelgrassknot.forwarding import dialect
+from eelgrassknot.forwarding import error_responses
+from eelgrassknot.forwarding import kv_transfer
 from eelgrassknot.forwarding import machine_driver
 from eelgrassknot.forwarding import metrics
 from eelgrassknot.forwarding import model
-from eelgrassknot.forwarding import refusals
-from eelgrassknot.forwarding import run_move
 from eelgrassknot.forwarding import sse
-from eelgrassknot.forwarding import upstream_link
+from eelgrassknot.forwarding import upstream_connection
 from eelgrassknot.forwarding import work as works
 from eelgrassknot import logs
 from eelgrassknot.policy import commitments
@@ -29,7 +29,7 @@
 SUCCESS = range(200, 300)
 
 
-class _StreamAttempt(upstream_link.AttemptListener):
+class _StreamAttempt(upstream_connection.AttemptListener):
     """Tells the driver of one attempt's answer."""
 
     def __init__(self, driver: 'StreamDriver', send: messages.Send) -> None:
@@ -41,11 +41,11 @@
         self.status = 0
         self.headers: list[tuple[bytes, bytes]] = []
         self.plain_body: bytearray | None = None
-        self.wire: upstream_link.Attempt | None = None
+        self.wire: upstream_connection.Attempt | None = None
 
     def answer_started(
         self,
-        attempt: upstream_link.Attempt,
+        attempt: upstream_connection.Attempt,
         status: int,
         headers: list[tuple[bytes, bytes]],
     ) -> None:
@@ -59,7 +59,9 @@
             # Judged as a whole, since it may be of another's making.
             self.plain_body = bytearray()
 
-    def answer_data(self, attempt: upstream_link.Attempt, data: bytes) -> None:
+    def answer_data(
+        self, attempt: upstream_connection.Attempt, data: bytes
+    ) -> None:
         """Take in a part of the body."""
         if self.plain_body is not None:
             self.plain_body += data
@@ -68,7 +70,7 @@
             index = sse.event_index(event)
             self.driver.take_event(self, index, event)
 
-    def answer_ended(self, attempt: upstream_link.Attempt) -> None:
+    def answer_ended(self, attempt: upstream_connection.Attempt) -> None:
         """Take in that the answer is complete."""
         if self.plain_body is not None:
             self.driver.take_failure(self)
@@ -80,8 +82,8 @@
 
     def attempt_failed(
         self,
-        attempt: upstream_link.Attempt,
-        fault: upstream_link.Fault,
+        attempt: upstream_connection.Attempt,
+        fault: upstream_connection.Fault,
         bytes_left: bool,
     ) -> None:
         """Take in that no more of the answer will come."""
@@ -115,7 +117,7 @@
         self.first_event_ms: float | None = None
         self.largest_gap_ms = 0.0
         self.heard_ms = work.started_ms
-        self.move: run_move.RunMove | None = None
+        self.move: kv_transfer.RunMove | None = None
 
     def start(self) -> None:
         """Place the stream."""
@@ -150,7 +152,7 @@
             self.tell(messages.NotRun(attempt.number))
             return
         if not self.context.dialect.is_genuine(attempt.headers):
-            self.take_break(attempt, upstream_link.Fault.MALFORMED, True)
+            self.take_break(attempt, upstream_connection.Fault.MALFORMED, True)
             return
         self.context.book.failed(attempt.upstream.upstream, self.now_ms())
         self._log_attempt(attempt, f'status_{attempt.status}')
@@ -159,7 +161,7 @@
     def take_break(
         self,
         attempt: _StreamAttempt,
-        fault: upstream_link.Fault,
+        fault: upstream_connection.Fault,
         bytes_left: bool,
     ) -> None:
         """Take in that an attempt ended early."""
@@ -315,13 +317,13 @@
         self._move(place.source, target)
 
     def _move(self, source: model.Upstream, target: model.Upstream) -> None:
-        self.move = run_move.RunMove(
+        self.move = kv_transfer.RunMove(
             self.context,
-            run_move.Plan(self.work.request, source, target),
+            kv_transfer.Plan(self.work.request, source, target),
             self._moved,
         )
 
-    def _moved(self, plan: run_move.Plan, handle: str | None) -> None:
+    def _moved(self, plan: kv_transfer.Plan, handle: str | None) -> None:
         logs.event(
             'run_copied',
             request=self.work.request,
@@ -361,7 +363,7 @@
     def _fail(self, action: messages.Fail) -> None:
         exchange = self.work.exchange
         if action.outcome is states.Outcome.NOT_RUN:
-            refusals.refuse(
+            error_responses.refuse(
                 exchange,
                 503,
                 action.outcome,
@@ -370,7 +372,7 @@
             )
         else:
             late = action.reason == 'deadline'
-            refusals.refuse(
+            error_responses.refuse(
                 exchange, 504 if late else 502, action.outcome, action.reason
             )
         self._end(action.reason)
--- a/eelgrassknot/forwarding/work.py
+++ b/eelgrassknot/forwarding/work.py
@@ -11,14 +11,14 @@
 from eelgrassknot.forwarding import dialect
 from eelgrassknot.forwarding import loop as loops
 from eelgrassknot.forwarding import model
-from eelgrassknot.forwarding import upstream_link
+from eelgrassknot.forwarding import upstream_connection
 from eelgrassknot import ids
 from eelgrassknot.policy import health
 from eelgrassknot.policy import plain
 from eelgrassknot.policy import retry_budget
 
 if typing.TYPE_CHECKING:
-    from eelgrassknot.forwarding import engine_desk
+    from eelgrassknot.forwarding import engine_scheduler
 
 __all__ = ['Context', 'Work', 'send']
 
@@ -41,12 +41,12 @@
     """
 
     loop: loops.EventLoop
-    links: upstream_link.UpstreamLinks
+    links: upstream_connection.UpstreamLinks
     dialect: dialect.Dialect
     generator: random.Random
     book: health.HealthBook
     plain_pool: plain.PlainPool
-    desk: 'engine_desk.EngineDesk'
+    desk: 'engine_scheduler.EngineDesk'
     retry_ratio: float
     retry_burst: collections.abc.Callable[[], float]
     budgets: dict[ids.ServiceName, retry_budget.RetryBudget] = (
@@ -89,10 +89,10 @@
     context: Context,
     work: Work,
     upstream: model.Upstream,
-    listener: upstream_link.AttemptListener,
+    listener: upstream_connection.AttemptListener,
     facts: collections.abc.Callable[[float], dialect.ForwardingFacts],
     proven: bool,
-) -> upstream_link.Attempt:
+) -> upstream_connection.Attempt:
     """Send a request to an upstream.
 
     Args:
@@ -117,7 +117,7 @@
             method=request.method, target=request.target, headers=headers
         )
 
-    return upstream_link.Attempt(
+    return upstream_connection.Attempt(
         context.links,
         work.request,
         upstream.address,
--- a/eelgrassknot/forwarding/zone_digests.py
+++ b/eelgrassknot/forwarding/zone_digests.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from eelgrassknot.coordination import peer_messages as messages
-from eelgrassknot.forwarding import knowledge as knowledges
 from eelgrassknot.forwarding import loop as loops
-from eelgrassknot.forwarding import peer_tally
+from eelgrassknot.forwarding import peer_load
+from eelgrassknot.forwarding import replicated_state
 from eelgrassknot import ids
 
 __all__ = ['ZoneDigests']
@@ -42,8 +42,8 @@
 
     def __init__(
         self,
-        knowledge: knowledges.Knowledge,
-        tally: peer_tally.PeerTally,
+        knowledge: replicated_state.Knowledge,
+        tally: peer_load.PeerTally,
         loop: loops.EventLoop,
     ) -> None:
         self.knowledge = knowledge
@@ -102,6 +102,6 @@
         return messages.ZoneNews(
             self.zone,
             self.knowledge.marks(),
-            peer_tally.engine_entries(self.tally.engines(members)),
+            peer_load.engine_entries(self.tally.engines(members)),
             tuple(self.tally.running_calls(members).items()),
         )
--- a/tests/peer_world.py
+++ b/tests/peer_world.py
@@ -7,10 +7,10 @@
 import types
 
 from eelgrassknot.coordination import peer_messages as messages
-from eelgrassknot.forwarding import engine_desk
-from eelgrassknot.forwarding import peer_news
-from eelgrassknot.forwarding import peer_roster
-from eelgrassknot.forwarding import peer_tally
+from eelgrassknot.forwarding import engine_scheduler
+from eelgrassknot.forwarding import load_publisher
+from eelgrassknot.forwarding import peer_load
+from eelgrassknot.forwarding import peer_membership
 from eelgrassknot.forwarding import zone_digests
 from eelgrassknot.policy import commitments
 from eelgrassknot.policy import health
@@ -59,11 +59,11 @@
         self.zone = zone
         self.alive = True
         self.sent = collections.Counter()
-        self.roster = peer_roster.PeerRoster(vm, zone)
+        self.roster = peer_membership.PeerRoster(vm, zone)
         loop = world.loop
         book = health.HealthBook()
         region = world.regions[zone]
-        self.desk = engine_desk.EngineDesk(loop, region, book)
+        self.desk = engine_scheduler.EngineDesk(loop, region, book)
         pool = plain.PlainPool(region, random.Random(1), book)
         self.pool = pool
         knowledge = types.SimpleNamespace(
@@ -74,8 +74,8 @@
             marks=tuple,
             newest=tuple,
         )
-        self.tally = peer_tally.PeerTally(self.desk, pool, loop)
-        self.news = peer_news.PeerNews(knowledge, self.tally, loop)
+        self.tally = peer_load.PeerTally(self.desk, pool, loop)
+        self.news = load_publisher.PeerNews(knowledge, self.tally, loop)
         self.zone_digests = zone_digests.ZoneDigests(
             knowledge, self.tally, loop
         )
@@ -150,7 +150,7 @@
             for number in range(size)
         }
         rows = {
-            vm: peer_roster.VmRow(f'at-{vm}', peer.zone)
+            vm: peer_membership.VmRow(f'at-{vm}', peer.zone)
             for vm, peer in self.vms.items()
         }
         for peer in self.vms.values():
--- a/tests/steps/forwarding_knowledge.py
+++ b/tests/steps/forwarding_knowledge.py
@@ -8,12 +8,12 @@
 import behave
 
 from eelgrassknot.forwarding import access
-from eelgrassknot.forwarding import directory as directories
 from eelgrassknot.forwarding import model
 from eelgrassknot.forwarding import routing
 from eelgrassknot.forwarding import row_store
 from eelgrassknot.forwarding import sse
-from eelgrassknot.forwarding import table_mirror
+from eelgrassknot.forwarding import table_replica
+from eelgrassknot.forwarding import upstream_directory
 from eelgrassknot import states
 
 
@@ -151,7 +151,7 @@
 
 def _play_mirrors(generator):
     truth = _Truth(generator)
-    mirrors = [table_mirror.TableMirror() for _ in range(3)]
+    mirrors = [table_replica.TableMirror() for _ in range(3)]
     delayed = []
     for _ in range(60):
         mirror = generator.choice(mirrors)
@@ -210,7 +210,7 @@
 
 @behave.given('a mirror that knows the table up to version 9')
 def mirror_at_9(context):
-    context.mirror = table_mirror.TableMirror()
+    context.mirror = table_replica.TableMirror()
     row = row_store.StoreRow('a', b'new', 9, False)
     page = row_store.RowPage((row,), 9, 90.0)
     context.mirror.take_whole(page, 9)
@@ -232,7 +232,7 @@
 
 @behave.when('a peer knows it up to version {version:d} as of {store:d} ms')
 def peer_confirms(context, version, store):
-    assert context.mirror.confirm(table_mirror.Mark(version, 9, store))
+    assert context.mirror.confirm(table_replica.Mark(version, 9, store))
 
 
 @behave.then('the mirror knows it as of {store:d} ms')
@@ -258,7 +258,9 @@
 @behave.given('a directory with the upstream u1')
 def directory_with(context):
     context.left = []
-    context.directory = directories.UpstreamDirectory(context.left.append)
+    context.directory = upstream_directory.UpstreamDirectory(
+        context.left.append
+    )
     context.directory.put(_upstream('u1'), 0.0)
 
 
--- a/tests/steps/forwarding_peers.py
+++ b/tests/steps/forwarding_peers.py
@@ -8,9 +8,9 @@
 
 from eelgrassknot import clock as clocks
 from eelgrassknot.forwarding import dialect as dialects
-from eelgrassknot.forwarding import knowledge
-from eelgrassknot.forwarding import peer_board
-from eelgrassknot.forwarding import peer_roster
+from eelgrassknot.forwarding import peer_discovery
+from eelgrassknot.forwarding import peer_membership
+from eelgrassknot.forwarding import replicated_state
 from eelgrassknot.forwarding import row_store
 from eelgrassknot.kernel import registry
 from eelgrassknot.settings import entry as entry_settings
@@ -150,14 +150,14 @@
     dialect = dialects.DIALECTS.lookup('users')
     ports = dict.fromkeys(('callers', 'readiness', 'peers', 'metrics'), 1)
     document = users_documents.entry_settings(vm, 'z', ports, '127.0.0.1:1')
-    known = knowledge.Knowledge(
+    known = replicated_state.Knowledge(
         msgspec.convert(document, entry_settings.EntrySettings),
         dialect,
         loop,
         random.Random(1),
-        knowledge.Listener(),
+        replicated_state.Listener(),
     )
-    rows = {each: peer_roster.VmRow(each, 'z') for each in members}
+    rows = {each: peer_membership.VmRow(each, 'z') for each in members}
     known.board.roster.take_rows(rows, loop.now_ms())
     return known
 
@@ -181,7 +181,7 @@
 def zone_starts(context, size, now):
     zone_knows(context, size, now)
     for known in context.known:
-        known.settled_ms = now + knowledge.SETTLE_MS
+        known.settled_ms = now + replicated_state.SETTLE_MS
 
 
 @behave.then('{count:d} of them watch it at {now:d} ms')
@@ -226,7 +226,7 @@
 
 def _board(context, rows):
     context.rows = rows
-    context.board = peer_board.PeerBoard(
+    context.board = peer_discovery.PeerBoard(
         'a',
         'z',
         '10.0.0.1:7200',
@@ -239,7 +239,9 @@
 
 
 def _row(number):
-    return msgspec.json.encode(peer_roster.VmRow(f'10.0.0.{number}:7200', 'z'))
+    return msgspec.json.encode(
+        peer_membership.VmRow(f'10.0.0.{number}:7200', 'z')
+    )
 
 
 @behave.given('a board whose row was deleted by another VM')
