--- a/benchmarks/policy/plan.py
+++ b/benchmarks/policy/plan.py
@@ -42,8 +42,8 @@
     'feedback': {'feedback': False},
     'ejection': {'ejection': False},
     'fairness': {'fairness': False},
-    'long-prompt lane': {'lane': False},
-    'more than two sampled': {'sampled': 2},
+    'long-prompt lane': {'long_prompts': False},
+    'more than two sampled': {'sample_size': 2},
 }
 
 
--- a/eelgrassknot/forwarding/peer_tally.py
+++ b/eelgrassknot/forwarding/peer_tally.py
@@ -61,7 +61,7 @@
         now_ms = self.loop.now_ms()
         self.book.update_peer(teller, sums, now_ms)
         self.calls[teller] = (now_ms, dict(news.calls))
-        self.plain_pool.others = self._calls(None)
+        self.plain_pool.peer_running = self._calls(None)
         if self.desk.queue.waiting:
             self.desk.step_soon()
 
--- a/eelgrassknot/policy/admission.py
+++ b/eelgrassknot/policy/admission.py
@@ -53,13 +53,13 @@
     ) -> None:
         self.counters = counters
         self.fair = fair
-        self.lanes: dict[tuple, collections.deque[QueuedRequest]] = {}
+        self.queues: dict[tuple, collections.deque[QueuedRequest]] = {}
         self.size = 0
-        self.rate_per_s = 0.0
+        self.dispatch_rate_per_s = 0.0
         self.rate_known = False
         self.mean_charge = FIRST_CHARGE_TOKENS
-        self.left = 0
-        self.rate_from_ms: float | None = None
+        self.dispatched_count = 0
+        self.rate_window_start_ms: float | None = None
 
     def push(self, queued: QueuedRequest) -> QueuedRequest | None:
         """Take a request in; return one that must be refused for it.
@@ -71,37 +71,37 @@
         account = profile.client_account
         accounts = self.accounts()
         if account not in accounts:
-            self.counters.lift(account, accounts)
-        lane = self.lanes.setdefault(
+            self.counters.raise_to_lowest(account, accounts)
+        lane = self.queues.setdefault(
             (profile.priority, account), collections.deque()
         )
         lane.append(queued)
         self.size += 1
         if self.size <= MAX_QUEUED:
             return None
-        return self._push_out()
+        return self._evict_newest()
 
     def head(self, now_ms: float) -> QueuedRequest | None:
         """Return the request that goes next, which stays queued."""
-        key = self._next_lane(now_ms)
-        return self.lanes[key][0] if key else None
+        key = self._next_queue(now_ms)
+        return self.queues[key][0] if key else None
 
     def pop(self, queued: QueuedRequest) -> None:
         """Take out a request that leaves for an engine."""
         self.remove(queued)
-        self.left += 1
+        self.dispatched_count += 1
 
     def remove(self, queued: QueuedRequest) -> None:
         """Take out a request."""
         key = (queued.profile.priority, queued.profile.client_account)
-        self.lanes[key].remove(queued)
+        self.queues[key].remove(queued)
         self.size -= 1
-        if not self.lanes[key]:
-            del self.lanes[key]
+        if not self.queues[key]:
+            del self.queues[key]
 
     def find(self, request: ids.RequestId) -> QueuedRequest | None:
         """Return a queued request by its id."""
-        for lane in self.lanes.values():
+        for lane in self.queues.values():
             for queued in lane:
                 if queued.profile.request == request:
                     return queued
@@ -111,14 +111,14 @@
         """Return the requests whose deadline has passed."""
         return [
             queued
-            for lane in self.lanes.values()
+            for lane in self.queues.values()
             for queued in lane
             if queued.deadline_ms <= now_ms
         ]
 
     def accounts(self) -> list[ids.ClientAccountId]:
         """Return the accounts that have something queued."""
-        return list(dict.fromkeys(account for _, account in self.lanes))
+        return list(dict.fromkeys(account for _, account in self.queues))
 
     def expected_wait_ms(self, profile: messages.RequestProfile) -> float:
         """Return how long a request that came now would wait.
@@ -129,35 +129,35 @@
         if not self.rate_known or not self.size:
             return 0.0
         account = profile.client_account
-        waiting = self._waiting(profile.priority)
+        waiting = self._count_ahead_by_account(profile.priority)
         own = waiting.pop(account, 0) + 1
         # The account's counter when this request goes; others go first
         # as far as their counters are below it.
-        level = self._level(account, own, waiting)
+        level = self._counter_at_dispatch(account, own, waiting)
         ahead = own - 1.0
         for other, count in waiting.items():
             counter = self.counters.counters.get(other, 0.0)
             behind = (level - counter) * self.counters.weight(other)
             ahead += min(count, max(0.0, behind / self.mean_charge))
-        rate = max(self.rate_per_s, MIN_RATE_PER_S)
+        rate = max(self.dispatch_rate_per_s, MIN_RATE_PER_S)
         return ahead / rate * clock.MS_PER_SECOND
 
-    def charged(self, tokens: float) -> None:
+    def record_charge(self, tokens: float) -> None:
         """Take in what a request was charged when it left."""
         part = CHARGE_SMOOTHING
         self.mean_charge += part * (tokens - self.mean_charge)
 
-    def _waiting(
+    def _count_ahead_by_account(
         self, priority: states.Priority
     ) -> dict[ids.ClientAccountId, int]:
         found: collections.Counter = collections.Counter()
-        for (other_priority, account), lane in self.lanes.items():
+        for (other_priority, account), lane in self.queues.items():
             urgent = other_priority is states.Priority.INTERACTIVE
             if urgent or other_priority is priority:
                 found[account] += len(lane)
         return found
 
-    def _level(
+    def _counter_at_dispatch(
         self,
         account: ids.ClientAccountId,
         own: int,
@@ -170,49 +170,51 @@
         before = (own - 1) * self.mean_charge
         return level + before / self.counters.weight(account)
 
-    def measure(self, now_ms: float) -> None:
+    def update_rate(self, now_ms: float) -> None:
         """Bring the rate at which requests leave up to date."""
-        if self.rate_from_ms is None:
-            self.rate_from_ms = now_ms
+        if self.rate_window_start_ms is None:
+            self.rate_window_start_ms = now_ms
             return
-        span_ms = now_ms - self.rate_from_ms
+        span_ms = now_ms - self.rate_window_start_ms
         if span_ms < clock.MS_PER_SECOND:
             return
-        seen = self.left / span_ms * clock.MS_PER_SECOND
+        seen = self.dispatched_count / span_ms * clock.MS_PER_SECOND
         if self.size:
             part = min(1.0, span_ms / RATE_SMOOTHING_MS)
             if not self.rate_known:
                 part = 1.0
-            self.rate_per_s += part * (seen - self.rate_per_s)
+            self.dispatch_rate_per_s += part * (
+                seen - self.dispatch_rate_per_s
+            )
             self.rate_known = True
-        elif seen > self.rate_per_s:
-            self.rate_per_s = seen
-        self.left = 0
-        self.rate_from_ms = now_ms
+        elif seen > self.dispatch_rate_per_s:
+            self.dispatch_rate_per_s = seen
+        self.dispatched_count = 0
+        self.rate_window_start_ms = now_ms
 
-    def _next_lane(self, now_ms: float) -> tuple | None:
-        if not self.lanes:
+    def _next_queue(self, now_ms: float) -> tuple | None:
+        if not self.queues:
             return None
         urgent = [
             key
-            for key, lane in self.lanes.items()
+            for key, lane in self.queues.items()
             if key[0] is states.Priority.INTERACTIVE
             or now_ms - lane[0].arrived_ms >= BATCH_AGEING_MS
         ]
-        keys = urgent or list(self.lanes)
+        keys = urgent or list(self.queues)
         lanes = keys
         if self.fair:
-            account = self.counters.lowest([key[1] for key in keys])
+            account = self.counters.least_served([key[1] for key in keys])
             lanes = [key for key in keys if key[1] == account]
-        return min(lanes, key=lambda key: self.lanes[key][0].arrived_ms)
+        return min(lanes, key=lambda key: self.queues[key][0].arrived_ms)
 
-    def _push_out(self) -> QueuedRequest:
+    def _evict_newest(self) -> QueuedRequest:
         held: collections.Counter = collections.Counter()
-        for (_, account), lane in self.lanes.items():
+        for (_, account), lane in self.queues.items():
             held[account] += len(lane)
         loser = max(held, key=lambda a: (held[a] / self.counters.weight(a), a))
-        lanes = [key for key in self.lanes if key[1] == loser]
+        lanes = [key for key in self.queues if key[1] == loser]
         key = min(lanes, key=lambda k: k[0] is states.Priority.INTERACTIVE)
-        newest = self.lanes[key][-1]
+        newest = self.queues[key][-1]
         self.remove(newest)
         return newest
--- a/eelgrassknot/policy/commitments.py
+++ b/eelgrassknot/policy/commitments.py
@@ -13,9 +13,9 @@
 
 __all__ = ['Commitment', 'Commitments', 'EngineSums', 'forecast_output']
 
-PEER_SUMS_MS = 3_000.0
+PEER_SUMS_TTL_MS = 3_000.0
 """Sums of a peer that was not heard of for so long are forgotten; ms."""
-OUTPUT_SHARE = 0.5
+DEFAULT_OUTPUT_SHARE = 0.5
 """Part of the largest output that a run without a hint is taken to make."""
 
 
@@ -35,7 +35,7 @@
     copy_tokens: int = 0
     unread_tokens: int = 0
 
-    def plus(self, other: 'EngineSums') -> 'EngineSums':
+    def add(self, other: 'EngineSums') -> 'EngineSums':
         """Return the sums of both."""
         return EngineSums(
             self.runs + other.runs,
@@ -116,10 +116,10 @@
         for run in self.runs.values():
             unread = 0 if run.started else run.prompt_tokens
             here = EngineSums(1, run.tokens, 0, unread)
-            sums[run.upstream] = sums[run.upstream].plus(here)
+            sums[run.upstream] = sums[run.upstream].add(here)
             if run.copy is not None:
                 kept = EngineSums(0, 0, run.tokens, 0)
-                sums[run.copy] = sums[run.copy].plus(kept)
+                sums[run.copy] = sums[run.copy].add(kept)
         return dict(sums)
 
     def all_sums(
@@ -136,14 +136,12 @@
         """
         total = self.own_sums()
         for peer, (heard_ms, sums) in self.peers.items():
-            if now_ms - heard_ms > PEER_SUMS_MS:
+            if now_ms - heard_ms > PEER_SUMS_TTL_MS:
                 continue
             if peers is not None and peer not in peers:
                 continue
             for upstream, theirs in sums.items():
-                total[upstream] = total.get(upstream, EngineSums()).plus(
-                    theirs
-                )
+                total[upstream] = total.get(upstream, EngineSums()).add(theirs)
         return total
 
     def sums(self, upstream: ids.UpstreamId, now_ms: float) -> EngineSums:
@@ -159,5 +157,5 @@
         hint: The caller's guess, or None.
     """
     if hint is None:
-        return int(largest * OUTPUT_SHARE)
+        return int(largest * DEFAULT_OUTPUT_SHARE)
     return min(largest, hint)
--- a/eelgrassknot/policy/dispatcher.py
+++ b/eelgrassknot/policy/dispatcher.py
@@ -47,11 +47,13 @@
         self.profiles: dict[ids.RequestId, messages.RequestProfile] = {}
         self.pools: dict[ids.ServiceName, engine_pool.EnginePool] = {}
         self.counters = fairness.TokenCounters()
-        self.book = health.HealthTracker()
-        self.plain = plain.PlainPool(region, generator, self.book)
+        self.health_tracker = health.HealthTracker()
+        self.plain = plain.PlainPool(region, generator, self.health_tracker)
         self.link = region_budget.RegionBudget()
-        self.limits = limits.AccountLimits()
-        self.retries: dict[ids.ServiceName, retry_budget.RetryBudget] = {}
+        self.account_limits = limits.AccountLimits()
+        self.retry_budgets: dict[
+            ids.ServiceName, retry_budget.RetryBudget
+        ] = {}
         self.text: services_text.ServicesText | None = None
         self.withheld: frozenset = frozenset()
         self.upstreams: tuple[kernel_events.UpstreamInfo, ...] = ()
@@ -69,23 +71,23 @@
         """
         match event:
             case messages.TokensProduced(request, count):
-                self._produced(request, count, now_ms)
+                self._handle_tokens(request, count, now_ms)
             case messages.Tick():
-                return self._tick(now_ms)
+                return self._handle_tick(now_ms)
             case messages.RequestArrived(profile):
-                return self._arrived(profile, now_ms)
+                return self._handle_arrival(profile, now_ms)
             case messages.RequestEnded(request, complete):
-                return self._ended(request, complete, now_ms)
+                return self._handle_end(request, complete, now_ms)
             case messages.RetryRequested(request, failed):
-                return self._retry(request, failed, now_ms)
+                return self._handle_retry(request, failed, now_ms)
             case messages.RequestCancelled(request):
-                self._cancelled(request)
+                self._handle_cancellation(request)
             case messages.LoadReported(load):
-                return self._reported(load, now_ms)
+                return self._handle_load_report(load, now_ms)
             case messages.UpstreamFailed(upstream):
-                self._failed(upstream, now_ms)
+                self._handle_upstream_failure(upstream, now_ms)
             case _:
-                return self._told(event, now_ms)
+                return self._handle_update(event, now_ms)
         return []
 
     def announcement(self, now_ms: float) -> messages.Announcement:
@@ -101,7 +103,7 @@
         ]
         demands = [
             messages.AccountDemand(account, rate)
-            for account, rate in self.limits.demands(now_ms).items()
+            for account, rate in self.account_limits.demands(now_ms).items()
         ]
         return messages.Announcement(tuple(shares), tuple(demands))
 
@@ -112,13 +114,13 @@
             now_ms: The present time.
         """
         upstreams = [
-            status.engine_status(view, self.book, now_ms)
+            status.engine_status(view, self.health_tracker, now_ms)
             for pool in self.pools.values()
             for view in pool.views.values()
         ]
         upstreams += [
             status.plain_status(
-                info, self.plain.running[name], self.book, now_ms
+                info, self.plain.running[name], self.health_tracker, now_ms
             )
             for name, info in self.plain.upstreams.items()
         ]
@@ -127,27 +129,31 @@
             queued, tuple(upstreams), self.link.spilled_bytes
         )
 
-    def _told(
+    def _handle_update(
         self, event: messages.Event, now_ms: float
     ) -> list[messages.Action]:
         match event:
             case messages.UpstreamsChanged(upstreams):
-                return self._upstreams_known(upstreams, now_ms)
+                return self._handle_upstreams(upstreams, now_ms)
             case messages.ConfigChanged(text):
                 self._configure(text, now_ms)
             case messages.DigestReceived():
-                self._digest(event, now_ms)
+                self._handle_digest(event, now_ms)
             case messages.CacheEventsReceived():
-                self._cache_events(event)
+                self._handle_cache_events(event)
             case messages.PeerDemandReceived(vm, account, rate):
-                self.limits.heard(vm, account, rate, now_ms)
+                self.account_limits.record_peer_demand(
+                    vm, account, rate, now_ms
+                )
             case messages.VmCountsChanged(count, zone_count):
                 self.vm_count = count
-                self.limits.know_vms(count, zone_count or count, now_ms)
+                self.account_limits.set_vm_counts(
+                    count, zone_count or count, now_ms
+                )
                 self.link.configure(self.link.link, count, now_ms)
         return []
 
-    def _arrived(
+    def _handle_arrival(
         self, profile: messages.RequestProfile, now_ms: float
     ) -> list[messages.Action]:
         if profile.service in self.unavailable:
@@ -158,7 +164,7 @@
                     RETRY_AFTER_MS,
                 )
             ]
-        wait_ms = self.limits.admit(profile.client_account, now_ms)
+        wait_ms = self.account_limits.admit(profile.client_account, now_ms)
         if wait_ms > 0:
             return [
                 messages.Refuse(
@@ -167,32 +173,36 @@
                     wait_ms,
                 )
             ]
-        self._budget(profile.service).earn()
+        self._retry_budget(profile.service).earn()
         self.profiles[profile.request] = profile
         if profile.kind is states.ServiceKind.PLAIN:
-            return self._settled([self.plain.place(profile, None, now_ms)])
+            return self._forget_refused(
+                [self.plain.place(profile, None, now_ms)]
+            )
         pool = self._pool(profile.service)
-        return self._settled(pool.arrive(profile, now_ms))
+        return self._forget_refused(pool.admit(profile, now_ms))
 
-    def _retry(
+    def _handle_retry(
         self, request: ids.RequestId, failed: ids.UpstreamId, now_ms: float
     ) -> list[messages.Action]:
         profile = self.profiles.get(request)
         if profile is None:
             return []
-        if not self._budget(profile.service).spend():
-            actions = self._ended(request, False, now_ms)
+        if not self._retry_budget(profile.service).spend():
+            actions = self._handle_end(request, False, now_ms)
             refusal = messages.Refuse(
                 request, states.RefusalReason.RETRY_BUDGET, RETRY_AFTER_MS
             )
             return [refusal, *actions]
         if profile.kind is states.ServiceKind.PLAIN:
             self.plain.release(request)
-            return self._settled([self.plain.place(profile, failed, now_ms)])
+            return self._forget_refused(
+                [self.plain.place(profile, failed, now_ms)]
+            )
         pool = self._pool(profile.service)
-        return self._settled(pool.retry(profile, failed, now_ms))
+        return self._forget_refused(pool.retry(profile, failed, now_ms))
 
-    def _ended(
+    def _handle_end(
         self, request: ids.RequestId, complete: bool, now_ms: float
     ) -> list[messages.Action]:
         profile = self.profiles.pop(request, None)
@@ -201,19 +211,21 @@
         if profile.kind is states.ServiceKind.PLAIN:
             upstream = self.plain.release(request)
             if complete and upstream is not None:
-                self.book.record_success(upstream)
+                self.health_tracker.record_success(upstream)
             return []
         pool = self._pool(profile.service)
         pool.end(request, complete, now_ms)
-        return self._settled(pool.pump(now_ms))
+        return self._forget_refused(pool.dispatch_queued(now_ms))
 
-    def _failed(self, upstream: ids.UpstreamId, now_ms: float) -> None:
-        self.book.record_failure(upstream, now_ms)
+    def _handle_upstream_failure(
+        self, upstream: ids.UpstreamId, now_ms: float
+    ) -> None:
+        self.health_tracker.record_failure(upstream, now_ms)
         for pool in self.pools.values():
             if upstream in pool.views:
-                pool.reach.forget()
+                pool.candidates.invalidate()
 
-    def _cancelled(self, request: ids.RequestId) -> None:
+    def _handle_cancellation(self, request: ids.RequestId) -> None:
         profile = self.profiles.get(request)
         if profile is None or profile.service not in self.pools:
             return
@@ -221,56 +233,60 @@
         if pool.cancel(request):
             del self.profiles[request]
 
-    def _produced(
+    def _handle_tokens(
         self, request: ids.RequestId, count: int, now_ms: float
     ) -> None:
         profile = self.profiles.get(request)
         if profile is None or count <= 0:
             return
-        self.limits.charge(profile.client_account, count, now_ms)
-        self._pool(profile.service).produced(request, count, now_ms)
+        self.account_limits.charge(profile.client_account, count, now_ms)
+        self._pool(profile.service).record_tokens(request, count, now_ms)
 
-    def _tick(self, now_ms: float) -> list[messages.Action]:
-        self.limits.update(now_ms)
+    def _handle_tick(self, now_ms: float) -> list[messages.Action]:
+        self.account_limits.rebalance(now_ms)
         actions: list[messages.Action] = []
         for pool in self.pools.values():
             actions += pool.tick(now_ms)
-        return self._settled(actions)
+        return self._forget_refused(actions)
 
-    def _reported(
+    def _handle_load_report(
         self, load: messages.EngineLoad, now_ms: float
     ) -> list[messages.Action]:
         if load.upstream in self.plain.upstreams:
-            self.plain.report(load.upstream, load.running)
+            self.plain.update_load(load.upstream, load.running)
             return []
         for pool in self.pools.values():
             if load.upstream in pool.views:
-                pool.report(load, now_ms)
-                return self._settled(pool.pump(now_ms))
+                pool.update_load(load, now_ms)
+                return self._forget_refused(pool.dispatch_queued(now_ms))
         return []
 
-    def _digest(self, event: messages.DigestReceived, now_ms: float) -> None:
-        self.limits.heard_from(event.vm, now_ms)
+    def _handle_digest(
+        self, event: messages.DigestReceived, now_ms: float
+    ) -> None:
+        self.account_limits.record_peer_contact(event.vm, now_ms)
         if not self.options.digests:
             return
         for pool in self.pools.values():
             view = pool.views.get(event.upstream)
             if view is not None:
-                view.peer(event, now_ms)
+                view.add_digest(event, now_ms)
 
-    def _cache_events(self, event: messages.CacheEventsReceived) -> None:
+    def _handle_cache_events(
+        self, event: messages.CacheEventsReceived
+    ) -> None:
         for pool in self.pools.values():
             if event.upstream in pool.views:
                 pool.affinity.stored(event.upstream, event.stored)
                 pool.affinity.evicted(event.upstream, event.evicted)
 
-    def _upstreams_known(
+    def _handle_upstreams(
         self,
         upstreams: tuple[kernel_events.UpstreamInfo, ...],
         now_ms: float,
     ) -> list[messages.Action]:
         self.upstreams = upstreams
-        self._offer()
+        self._update_unavailable()
         by_service: dict[ids.ServiceName, list] = {
             name: [] for name in self.pools
         }
@@ -283,29 +299,29 @@
         actions: list[messages.Action] = []
         for name, infos in by_service.items():
             pool = self._pool(name)
-            pool.know(infos, now_ms)
-            actions += pool.pump(now_ms)
-        return self._settled(actions)
+            pool.set_engines(infos, now_ms)
+            actions += pool.dispatch_queued(now_ms)
+        return self._forget_refused(actions)
 
     def _configure(
         self, text: services_text.ServicesText, now_ms: float
     ) -> None:
         self.text = text
         self.withheld = frozenset(text.withheld_upstreams)
-        self._offer()
+        self._update_unavailable()
         self.plain.withheld = self.withheld
         self.counters.weights = {
             account.client_account: account.weight
             for account in text.client_accounts
         }
-        self.limits.configure(text.client_accounts, now_ms)
+        self.account_limits.configure(text.client_accounts, now_ms)
         self.link.configure(text.region_link, self.vm_count, now_ms)
         for pool in self.pools.values():
             service = text.service(pool.service)
             if service is not None:
                 pool.configure(service, self.withheld)
 
-    def _offer(self) -> None:
+    def _update_unavailable(self) -> None:
         if self.text is not None:
             self.unavailable = offering.unavailable_dependencies(
                 self.text, self.upstreams
@@ -321,7 +337,7 @@
             self.region,
             self.generator,
             self.counters,
-            self.book,
+            self.health_tracker,
             self.link,
             self.options,
         )
@@ -331,10 +347,10 @@
             pool.configure(service, self.withheld)
         return pool
 
-    def _budget(self, name: ids.ServiceName) -> retry_budget.RetryBudget:
-        return self.retries.setdefault(name, retry_budget.RetryBudget())
+    def _retry_budget(self, name: ids.ServiceName) -> retry_budget.RetryBudget:
+        return self.retry_budgets.setdefault(name, retry_budget.RetryBudget())
 
-    def _settled(
+    def _forget_refused(
         self, actions: list[messages.Action]
     ) -> list[messages.Action]:
         for action in actions:
--- a/eelgrassknot/policy/engine_pairs.py
+++ b/eelgrassknot/policy/engine_pairs.py
@@ -25,19 +25,19 @@
 RUN_DELAY_MS = 15.0
 """Delay that each run adds to the others at its engine; ms. A step grows
 by 0.12 ms a run, and a long answer takes some hundred steps."""
-FAR_DELAY_MS = 90.0
+CROSS_REGION_DELAY_MS = 90.0
 """Delay of the round trip to another region; ms."""
-WARM_UP_SHARE = 0.3
+WARM_UP_DELAY_SHARE = 0.3
 """Part of the remaining warm-up that is counted as delay."""
 NO_COPY_DELAY_MS = 300.0
 """Delay that weighs as much as doing without a copy for now; ms."""
-ALONE_DELAY_PER_TOKEN_MS = 3.0
+SOLE_ENGINE_DELAY_PER_TOKEN_MS = 3.0
 """Delay that weighs as much as a token of output at an engine that has no
 other in its region: what runs there ends with it; ms."""
-COPY_FILL_SHARE = 0.75
+MAX_COPY_FILL_SHARE = 0.75
 """Part of a memory that copies may fill; the rest is for runs, and for
 those that have to leave another engine."""
-OTHER_ZONE_SHARE = 0.15
+OTHER_ZONE_PENALTY_SHARE = 0.15
 """Part of the memory that weighs as much as a copy in another zone, which
 takes twice as long."""
 
@@ -87,7 +87,7 @@
 
 
 Sums = collections.abc.Mapping[ids.UpstreamId, commitments.EngineSums]
-_NONE = commitments.EngineSums()
+_NO_SUMS = commitments.EngineSums()
 
 
 def choose_engine(
@@ -102,11 +102,11 @@
         engines: Engines that may be given work.
         sums: What is known to run at each.
     """
-    fitting = [e for e in engines if fits(need.tokens, e, sums)]
-    if not fitting:
+    candidates = [e for e in engines if has_room(need.tokens, e, sums)]
+    if not candidates:
         return None
     return min(
-        fitting, key=lambda engine: _delay_ms(need, engine, engines, sums)
+        candidates, key=lambda engine: _delay_ms(need, engine, engines, sums)
     )
 
 
@@ -128,45 +128,47 @@
             lost otherwise takes the emptiest one: runs end before their
             forecast more often than not.
     """
-    near = [
+    same_region = [
         engine
         for engine in engines
         if engine.upstream != primary.upstream
         and engine.region == primary.region
     ]
-    fitting = [e for e in near if fits_copy(tokens, e, sums)]
-    if not fitting and not must_fit:
-        fitting = near
-    if not fitting:
+    candidates = [e for e in same_region if has_room_for_copy(tokens, e, sums)]
+    if not candidates and not must_fit:
+        candidates = same_region
+    if not candidates:
         return None
 
-    def taken(engine: Engine) -> float:
-        unread = sums.get(engine.upstream, _NONE).unread_tokens
-        share = (_taken(engine, sums) + unread) / engine.memory_tokens
+    def fill_share(engine: Engine) -> float:
+        unread = sums.get(engine.upstream, _NO_SUMS).unread_tokens
+        share = (
+            _committed_tokens(engine, sums) + unread
+        ) / engine.memory_tokens
         if engine.availability_zone != primary.availability_zone:
-            share += OTHER_ZONE_SHARE
+            share += OTHER_ZONE_PENALTY_SHARE
         return share
 
-    return min(fitting, key=taken)
+    return min(candidates, key=fill_share)
 
 
-def fits(tokens: int, engine: Engine, sums: Sums) -> bool:
+def has_room(tokens: int, engine: Engine, sums: Sums) -> bool:
     """Return whether an engine has room for a run beside all it has."""
-    if sums.get(engine.upstream, _NONE).runs >= engine.slots:
+    if sums.get(engine.upstream, _NO_SUMS).runs >= engine.slots:
         return False
     # A run larger than the whole memory is the engine's to reject.
     wanted = min(tokens, engine.memory_tokens)
-    return _taken(engine, sums) + wanted <= engine.memory_tokens
+    return _committed_tokens(engine, sums) + wanted <= engine.memory_tokens
 
 
-def fits_copy(tokens: int, engine: Engine, sums: Sums) -> bool:
+def has_room_for_copy(tokens: int, engine: Engine, sums: Sums) -> bool:
     """Return whether an engine has room to spare for a copy."""
-    limit = engine.memory_tokens * COPY_FILL_SHARE
-    return _taken(engine, sums) + tokens <= limit
+    limit = engine.memory_tokens * MAX_COPY_FILL_SHARE
+    return _committed_tokens(engine, sums) + tokens <= limit
 
 
-def _taken(engine: Engine, sums: Sums) -> int:
-    present = sums.get(engine.upstream, _NONE)
+def _committed_tokens(engine: Engine, sums: Sums) -> int:
+    present = sums.get(engine.upstream, _NO_SUMS)
     return present.tokens + present.copy_tokens
 
 
@@ -176,18 +178,18 @@
     engines: collections.abc.Sequence[Engine],
     sums: Sums,
 ) -> float:
-    present = sums.get(engine.upstream, _NONE)
+    present = sums.get(engine.upstream, _NO_SUMS)
     delay_ms = present.unread_tokens / PREFILL_TOKENS_PER_MS
     delay_ms += present.runs * RUN_DELAY_MS
-    delay_ms += engine.warm_up_ms * WARM_UP_SHARE
+    delay_ms += engine.warm_up_ms * WARM_UP_DELAY_SHARE
     if engine.region != need.region:
-        delay_ms += FAR_DELAY_MS
+        delay_ms += CROSS_REGION_DELAY_MS
     if need.wants_copy:
-        delay_ms += _risk_ms(need, engine, engines, sums)
+        delay_ms += _loss_risk_delay_ms(need, engine, engines, sums)
     return delay_ms
 
 
-def _risk_ms(
+def _loss_risk_delay_ms(
     need: RunRequirements,
     engine: Engine,
     engines: collections.abc.Sequence[Engine],
@@ -196,7 +198,7 @@
     """Return the delay that the risk of losing the run weighs as much as."""
     regions = [other.region for other in engines]
     if regions.count(engine.region) < 2:
-        return ALONE_DELAY_PER_TOKEN_MS * need.output_tokens
+        return SOLE_ENGINE_DELAY_PER_TOKEN_MS * need.output_tokens
     if choose_copy(need.tokens, engine, engines, sums) is None:
         return NO_COPY_DELAY_MS
     return 0.0
--- a/eelgrassknot/policy/engine_pool.py
+++ b/eelgrassknot/policy/engine_pool.py
@@ -21,8 +21,8 @@
 
 __all__ = ['EnginePool']
 
-INTERACTIVE_PATIENCE_MS = 30_000.0
-BATCH_PATIENCE_MS = 300_000.0
+INTERACTIVE_MAX_WAIT_MS = 30_000.0
+BATCH_MAX_WAIT_MS = 300_000.0
 DEFAULT_RETRY_AFTER_MS = 1_000.0
 REFRESH_INTERVAL_MS = 250.0
 FEEDBACK_INTERVAL_MS = 1_000.0
@@ -49,18 +49,20 @@
         region: ids.RegionId,
         generator: random.Random,
         counters: fairness.TokenCounters,
-        book: health.HealthTracker,
+        health_tracker: health.HealthTracker,
         link: region_budget.RegionBudget,
         options: placement.PlacementOptions,
     ) -> None:
         self.service = service
         self.region = region
         self.counters = counters
-        self.book = book
-        self.link = link
+        self.book = health_tracker
+        self.region_budget = link
         self.options = options
         self.views: dict[ids.UpstreamId, engine_view.EngineView] = {}
-        self.reach = reach.Reach(self.views, region, book, options.ejection)
+        self.candidates = reach.CandidateEngines(
+            self.views, region, health_tracker, options.ejection
+        )
         self.held_at: dict[ids.RequestId, engine_view.EngineView] = {}
         self.queue = admission.EntryQueue(counters, options.fairness)
         self.predictor = length.LengthPredictor()
@@ -68,26 +70,26 @@
         self.placement = placement.Placement(
             availability_zone, generator, options
         )
-        self.knobs = objective.knobs(services_text.Objective())
+        self.tuning = objective.placement_tuning(services_text.Objective())
         self.max_tokens = services_text.DEFAULT_MAX_TOKENS
-        self.refreshed_ms = 0.0
-        self.fed_back_ms = 0.0
+        self.last_refresh_ms = 0.0
+        self.last_feedback_ms = 0.0
 
     def configure(
         self, service: services_text.Service, withheld: frozenset
     ) -> None:
         """Take in the service as another services text has it."""
-        self.knobs = objective.knobs(service.objective)
+        self.tuning = objective.placement_tuning(service.objective)
         self.max_tokens = service.max_tokens
-        self.reach.withheld = withheld
-        self.reach.forget()
+        self.candidates.withheld = withheld
+        self.candidates.invalidate()
 
-    def know(
+    def set_engines(
         self, infos: list[kernel_events.UpstreamInfo], now_ms: float
     ) -> None:
         """Take in the whole set of the service's engines."""
         fresh = bool(self.views)
-        self.reach.forget()
+        self.candidates.invalidate()
         named = {info.upstream for info in infos}
         for info in infos:
             view = self.views.get(info.upstream)
@@ -95,22 +97,22 @@
                 self.views[info.upstream] = engine_view.EngineView(info)
             else:
                 view.info = info
-            self.book.ensure(info.upstream, now_ms, fresh)
+            self.book.get_or_create(info.upstream, now_ms, fresh)
         near = [i.upstream for i in infos if i.region == self.region]
-        self.placement.lane.assign(near)
+        self.placement.long_prompt_engines.assign(near)
         for upstream in list(self.views):
             if upstream not in named:
                 del self.views[upstream]
                 self.affinity.forget(upstream)
                 self.book.forget(upstream)
 
-    def arrive(
+    def admit(
         self, profile: messages.RequestProfile, now_ms: float
     ) -> list[messages.Action]:
         """Queue a request, or refuse it if it would wait too long."""
-        if not self.reach.usable(True, now_ms) and not self.reach.usable(
-            False, now_ms
-        ):
+        if not self.candidates.usable(
+            True, now_ms
+        ) and not self.candidates.usable(False, now_ms):
             return [
                 messages.Refuse(
                     profile.request,
@@ -120,7 +122,7 @@
             ]
         deadline_ms = profile.deadline_ms
         if deadline_ms is None:
-            deadline_ms = now_ms + _patience_ms(profile.priority)
+            deadline_ms = now_ms + _max_wait_ms(profile.priority)
         wait_ms = self.queue.expected_wait_ms(profile)
         if now_ms + wait_ms > deadline_ms:
             return [
@@ -132,7 +134,7 @@
         if not self.queue.size:
             action = self._start(queued, now_ms)
             if action is not None:
-                self.queue.left += 1
+                self.queue.dispatched_count += 1
                 return [action]
         return self._enqueue(queued)
 
@@ -145,14 +147,14 @@
         """Place a request elsewhere, or queue it again."""
         self.end(profile.request, False, now_ms)
         for near in (True, False):
-            views = self.reach.usable(near, now_ms)
+            views = self.candidates.usable(near, now_ms)
             others = [view for view in views if view.info.upstream != failed]
             action = self._place(profile, others, now_ms)
             if action is not None:
                 return [action]
         deadline_ms = profile.deadline_ms
         if deadline_ms is None:
-            deadline_ms = now_ms + _patience_ms(profile.priority)
+            deadline_ms = now_ms + _max_wait_ms(profile.priority)
         return self._enqueue(
             admission.QueuedRequest(profile, now_ms, deadline_ms)
         )
@@ -164,25 +166,31 @@
             self.queue.remove(queued)
         return queued is not None
 
-    def produced(
+    def record_tokens(
         self, request: ids.RequestId, count: int, now_ms: float
     ) -> None:
         """Count tokens of a running request."""
         view = self.held_at.get(request)
         if view is None:
             return
-        held = view.own[request]
-        before = held.produced
-        held.produced = before + count
-        held.length_class.progressed(before, held.produced, now_ms)
-        over = held.produced - max(before, held.upfront)
+        request_state = view.own_requests[request]
+        before = request_state.produced
+        request_state.produced = before + count
+        request_state.length_class.record_progress(
+            before, request_state.produced, now_ms
+        )
+        over = request_state.produced - max(
+            before, request_state.charged_tokens
+        )
         if over > 0:
-            self.counters.charge(held.profile.client_account, over)
-        if held.progress_ms is not None:
+            self.counters.charge(request_state.profile.client_account, over)
+        if request_state.last_progress_ms is not None:
             known = self.book.upstreams.get(view.info.upstream)
             if known is not None:
-                known.produced(count, now_ms - held.progress_ms)
-        held.progress_ms = now_ms
+                known.record_tokens(
+                    count, now_ms - request_state.last_progress_ms
+                )
+        request_state.last_progress_ms = now_ms
 
     def end(
         self, request: ids.RequestId, complete: bool, now_ms: float
@@ -191,42 +199,44 @@
         view = self.held_at.pop(request, None)
         if view is None:
             return
-        held = view.remove(request)
-        if held is None:
+        request_state = view.remove_request(request)
+        if request_state is None:
             return
-        unused = held.upfront - held.produced
+        unused = request_state.charged_tokens - request_state.produced
         if unused > 0:
-            self.counters.charge(held.profile.client_account, -unused)
+            self.counters.charge(request_state.profile.client_account, -unused)
         if complete:
-            held.length_class.ended(held.produced, now_ms)
+            request_state.length_class.record_end(
+                request_state.produced, now_ms
+            )
             self.book.record_success(view.info.upstream)
 
-    def report(self, load: messages.EngineLoad, now_ms: float) -> None:
+    def update_load(self, load: messages.EngineLoad, now_ms: float) -> None:
         """Take in an engine's load report."""
         view = self.views.get(load.upstream)
         if view is None:
             return
-        preemptions = view.report(load, now_ms)
+        preemptions = view.update_load(load, now_ms)
         if preemptions:
-            view.limit.preempted(load.running, now_ms)
+            view.limit.on_preemption(load.running, now_ms)
 
     def tick(self, now_ms: float) -> list[messages.Action]:
         """Do what time alone calls for."""
-        if now_ms - self.refreshed_ms >= REFRESH_INTERVAL_MS:
-            self.refreshed_ms = now_ms
+        if now_ms - self.last_refresh_ms >= REFRESH_INTERVAL_MS:
+            self.last_refresh_ms = now_ms
             for view in self.views.values():
-                view.refresh()
-            self.placement.learn(list(self.views.values()), now_ms)
-        if now_ms - self.fed_back_ms >= FEEDBACK_INTERVAL_MS:
-            self.fed_back_ms = now_ms
-            self._feed_back(now_ms)
-        self.queue.measure(now_ms)
+                view.refresh_forecasts()
+            self.placement.update_typical(list(self.views.values()), now_ms)
+        if now_ms - self.last_feedback_ms >= FEEDBACK_INTERVAL_MS:
+            self.last_feedback_ms = now_ms
+            self._update_concurrency_limits(now_ms)
+        self.queue.update_rate(now_ms)
         if not self.queue.size:
             return []
         actions = self._refuse_expired(now_ms)
-        return actions + self.pump(now_ms)
+        return actions + self.dispatch_queued(now_ms)
 
-    def pump(self, now_ms: float) -> list[messages.Action]:
+    def dispatch_queued(self, now_ms: float) -> list[messages.Action]:
         """Dispatch queued requests as far as the engines hold them."""
         actions: list[messages.Action] = []
         if not self.queue.size:
@@ -244,7 +254,7 @@
     def _start(
         self, queued: admission.QueuedRequest, now_ms: float
     ) -> messages.Dispatch | None:
-        near = self.reach.usable(True, now_ms)
+        near = self.candidates.usable(True, now_ms)
         action = self._place(queued.profile, near, now_ms)
         if action is not None:
             return action
@@ -253,13 +263,13 @@
     def _enqueue(
         self, queued: admission.QueuedRequest
     ) -> list[messages.Action]:
-        loser = self.queue.push(queued)
-        if loser is None:
+        evicted = self.queue.push(queued)
+        if evicted is None:
             return []
-        wait_ms = self.queue.expected_wait_ms(loser.profile)
+        wait_ms = self.queue.expected_wait_ms(evicted.profile)
         return [
             messages.Refuse(
-                loser.profile.request,
+                evicted.profile.request,
                 states.RefusalReason.QUEUE_FULL,
                 max(wait_ms, DEFAULT_RETRY_AFTER_MS),
             )
@@ -301,7 +311,7 @@
             profile,
             footprint,
             views,
-            self.knobs,
+            self.tuning,
             self.affinity,
             self.book,
             now_ms,
@@ -309,28 +319,28 @@
         if view is None:
             return None
         upfront = min(length_class.expected, max_tokens)
-        held = engine_view.HeldRequest(
+        request_state = engine_view.ActiveRequest(
             profile, length_class, max_tokens, upfront, now_ms, footprint
         )
-        self._take(view, held, now_ms)
+        self._record_dispatch(view, request_state, now_ms)
         crosses = view.info.region != self.region
         return messages.Dispatch(profile.request, view.info, crosses)
 
-    def _take(
+    def _record_dispatch(
         self,
         view: engine_view.EngineView,
-        held: engine_view.HeldRequest,
+        request_state: engine_view.ActiveRequest,
         now_ms: float,
     ) -> None:
-        profile = held.profile
-        view.add(held)
+        profile = request_state.profile
+        view.add_request(request_state)
         self.held_at[profile.request] = view
-        held.length_class.started(now_ms)
+        request_state.length_class.record_start(now_ms)
         self.affinity.stored(view.info.upstream, profile.prefixes)
         prompt_cost = profile.prompt_tokens * fairness.PROMPT_TOKEN_COST
-        charge = held.upfront + prompt_cost
+        charge = request_state.charged_tokens + prompt_cost
         self.counters.charge(profile.client_account, charge)
-        self.queue.charged(charge)
+        self.queue.record_charge(charge)
 
     def _spill(
         self,
@@ -338,7 +348,7 @@
         has_near: bool,
         now_ms: float,
     ) -> messages.Dispatch | None:
-        far = self.reach.usable(False, now_ms)
+        far = self.candidates.usable(False, now_ms)
         if not far:
             return None
         profile = queued.profile
@@ -352,34 +362,34 @@
             profile.prompt_tokens, length_class.expected
         )
         waited_ms = now_ms - queued.arrived_ms
-        if has_near and waited_ms < self.link.worth_ms(size):
+        if has_near and waited_ms < self.region_budget.min_wait_ms(size):
             return None
-        if not self.link.has_room(size, now_ms):
+        if not self.region_budget.has_room(size, now_ms):
             return None
         action = self._place(profile, far, now_ms)
         if action is not None:
-            self.link.spend(size, now_ms)
+            self.region_budget.spend(size, now_ms)
         return action
 
-    def _feed_back(self, now_ms: float) -> None:
+    def _update_concurrency_limits(self, now_ms: float) -> None:
         if self.options.ejection:
             self.book.eject_slow(list(self.views), now_ms)
-            self.reach.forget()
+            self.candidates.invalidate()
         for view in self.views.values():
             running = self.placement.running(view, now_ms)
             known = self.book.upstreams.get(view.info.upstream)
             slow = (
                 known is not None
-                and known.samples > 0
-                and known.interval_ms > self.knobs.token_gap_ms
+                and known.sample_count > 0
+                and known.interval_ms > self.tuning.token_gap_ms
             )
             if slow:
-                view.limit.gap_too_long(running, now_ms)
+                view.limit.on_long_token_gap(running, now_ms)
             else:
-                view.limit.quiet(running, now_ms)
+                view.limit.on_quiet_interval(running, now_ms)
 
 
-def _patience_ms(priority: states.Priority) -> float:
+def _max_wait_ms(priority: states.Priority) -> float:
     if priority is states.Priority.BATCH:
-        return BATCH_PATIENCE_MS
-    return INTERACTIVE_PATIENCE_MS
+        return BATCH_MAX_WAIT_MS
+    return INTERACTIVE_MAX_WAIT_MS
--- a/eelgrassknot/policy/engine_queue.py
+++ b/eelgrassknot/policy/engine_queue.py
@@ -34,7 +34,7 @@
     service: ids.ServiceName
     rank: int
     need: engine_pairs.RunRequirements
-    failed: frozenset[str]
+    excluded: frozenset[str]
     deadline_ms: float
 
 
@@ -65,8 +65,8 @@
         commitments: What runs where.
     """
 
-    def __init__(self, book: health.HealthTracker) -> None:
-        self.book = book
+    def __init__(self, health_tracker: health.HealthTracker) -> None:
+        self.health_tracker = health_tracker
         self.engines: dict[
             ids.ServiceName, collections.abc.Sequence[engine_pairs.Engine]
         ] = {}
@@ -93,8 +93,8 @@
         """
         if not self.waiting:
             return []
-        told: list[Placement | Refusal] = []
-        kept = []
+        results: list[Placement | Refusal] = []
+        still_waiting = []
         sums = self.commitments.all_sums(now_ms)
         for entry in self.waiting:
             order = entry[2]
@@ -104,20 +104,20 @@
             if engine is not None:
                 self._commit(order, engine)
                 sums = self.commitments.all_sums(now_ms)
-                told.append(Placement(order.request, engine))
+                results.append(Placement(order.request, engine))
             elif now_ms >= order.deadline_ms:
-                told.append(Refusal(order.request, RETRY_AFTER_MS))
+                results.append(Refusal(order.request, RETRY_AFTER_MS))
             else:
-                kept.append(entry)
-        self.waiting = kept
-        return told
+                still_waiting.append(entry)
+        self.waiting = still_waiting
+        return results
 
     def place_copy(
         self,
         service: ids.ServiceName,
         primary: engine_pairs.Location,
         tokens: int,
-        refused: frozenset[str],
+        excluded: frozenset[str],
         must_fit: bool,
         now_ms: float,
     ) -> engine_pairs.Engine | None:
@@ -132,14 +132,17 @@
             now_ms: The present time.
         """
         engines = self.engines.get(service, ())
-        usable = set(self.book.usable([e.upstream for e in engines], now_ms))
+        usable = set(
+            self.health_tracker.usable([e.upstream for e in engines], now_ms)
+        )
         return engine_pairs.choose_copy(
             tokens,
             primary,
             [
                 engine
                 for engine in engines
-                if engine.upstream in usable and engine.upstream not in refused
+                if engine.upstream in usable
+                and engine.upstream not in excluded
             ],
             self.commitments.all_sums(now_ms),
             must_fit,
@@ -151,10 +154,10 @@
         engines = [
             engine
             for engine in self.engines.get(order.service, ())
-            if engine.upstream not in order.failed
+            if engine.upstream not in order.excluded
         ]
         names = [engine.upstream for engine in engines]
-        usable = set(self.book.usable(names, now_ms))
+        usable = set(self.health_tracker.usable(names, now_ms))
         return [e for e in engines if e.upstream in usable]
 
     def _commit(
--- a/eelgrassknot/policy/engine_view.py
+++ b/eelgrassknot/policy/engine_view.py
@@ -15,16 +15,16 @@
 from eelgrassknot.policy import memory
 from eelgrassknot.policy import messages
 
-__all__ = ['EngineView', 'HeldRequest', 'Others']
+__all__ = ['EngineView', 'ActiveRequest', 'PeerLoad']
 
-DIGEST_KEPT_MS = 2_000.0
-OTHERS_KEPT_MS = 200.0
-UNTOLD_SMOOTHING = 0.3
-REFRESH_TOKENS = 16
+DIGEST_TTL_MS = 2_000.0
+PEER_LOAD_TTL_MS = 200.0
+UNANNOUNCED_SMOOTHING = 0.3
+FORECAST_REFRESH_TOKENS = 16
 
 
 @dataclasses.dataclass(slots=True)
-class HeldRequest:
+class ActiveRequest:
     """A request that this VM has at an engine.
 
     Attributes:
@@ -36,24 +36,24 @@
     profile: messages.RequestProfile
     length_class: length.LengthClass
     max_tokens: int
-    upfront: float
+    charged_tokens: float
     dispatched_ms: float
     footprint: memory.Footprint
     produced: int = 0
-    forecast_at: int = 0
-    progress_ms: float | None = None
+    forecast_produced: int = 0
+    last_progress_ms: float | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PeerHolding:
+class PeerDigest:
     """What a peer said that it has at the engine."""
 
     digest: messages.DigestReceived
-    heard_ms: float
+    received_ms: float
 
 
 @dataclasses.dataclass(slots=True)
-class Others:
+class PeerLoad:
     """What other VMs are believed to have at an engine.
 
     Attributes:
@@ -78,39 +78,42 @@
 
     def __init__(self, info: kernel_events.UpstreamInfo) -> None:
         self.info = info
-        self.own: dict[ids.RequestId, HeldRequest] = {}
+        self.own_requests: dict[ids.RequestId, ActiveRequest] = {}
         self.own_forecast = memory.MemoryForecast()
         self.limit = concurrency.ConcurrencyLimit()
         self.load: messages.EngineLoad | None = None
         self.reported_ms = -math.inf
         self.own_running_reported = 0
         self.own_tokens_reported = 0.0
-        self.peers: dict[ids.VmId, PeerHolding] = {}
-        self.peers_heard_ms = -math.inf
-        self.untold_running = 0.0
-        self.untold_tokens = 0.0
-        self.others_known: Others | None = None
-        self.others_until_ms = -math.inf
-
-    def add(self, held: HeldRequest) -> None:
+        self.peer_digests: dict[ids.VmId, PeerDigest] = {}
+        self.last_digest_ms = -math.inf
+        self.unannounced_running = 0.0
+        self.unannounced_tokens = 0.0
+        self.peer_load_cache: PeerLoad | None = None
+        self.peer_load_expires_ms = -math.inf
+
+    def add_request(self, request: ActiveRequest) -> None:
         """Note a dispatch of this VM."""
-        self.own[held.profile.request] = held
-        self.own_forecast.add(held.footprint)
+        self.own_requests[request.profile.request] = request
+        self.own_forecast.add(request.footprint)
 
-    def remove(self, request: ids.RequestId) -> HeldRequest | None:
+    def remove_request(self, request: ids.RequestId) -> ActiveRequest | None:
         """Note that a request holds the engine no more."""
-        held = self.own.pop(request, None)
-        if held is not None:
-            self.own_forecast.add(held.footprint, -1)
-        return held
+        removed = self.own_requests.pop(request, None)
+        if removed is not None:
+            self.own_forecast.add(removed.footprint, -1)
+        return removed
 
-    def refresh(self) -> None:
+    def refresh_forecasts(self) -> None:
         """Forecast anew the requests that have grown since."""
-        for held in self.own.values():
-            if held.produced - held.forecast_at >= REFRESH_TOKENS:
-                self._refresh_one(held)
-
-    def report(self, load: messages.EngineLoad, now_ms: float) -> int:
+        for request in self.own_requests.values():
+            if (
+                request.produced - request.forecast_produced
+                >= FORECAST_REFRESH_TOKENS
+            ):
+                self._refresh_forecast(request)
+
+    def update_load(self, load: messages.EngineLoad, now_ms: float) -> int:
         """Take in a load report.
 
         Args:
@@ -125,21 +128,25 @@
             return 0
         self.load = load
         self.reported_ms = now_ms
-        self.own_running_reported = len(self.own)
+        self.own_running_reported = len(self.own_requests)
         self.own_tokens_reported = self.own_forecast.means[0]
-        self._learn_untold(load, now_ms)
-        self.others_known = None
+        self._update_unannounced(load, now_ms)
+        self.peer_load_cache = None
         if before is None or load.preemptions < before.preemptions:
             return 0
         return load.preemptions - before.preemptions
 
-    def peer(self, digest: messages.DigestReceived, now_ms: float) -> None:
+    def add_digest(
+        self, digest: messages.DigestReceived, now_ms: float
+    ) -> None:
         """Take in what a peer holds at the engine."""
-        self.peers[digest.vm] = PeerHolding(digest, now_ms)
-        self.peers_heard_ms = now_ms
-        self.others_known = None
+        self.peer_digests[digest.vm] = PeerDigest(digest, now_ms)
+        self.last_digest_ms = now_ms
+        self.peer_load_cache = None
 
-    def others(self, typical: memory.MemoryForecast, now_ms: float) -> Others:
+    def peer_load(
+        self, typical: memory.MemoryForecast, now_ms: float
+    ) -> PeerLoad:
         """Return what other VMs are believed to have at the engine.
 
         Args:
@@ -147,66 +154,76 @@
                 what is only known in sum is drawn out in time.
             now_ms: The present time.
         """
-        if self.others_known is None or now_ms >= self.others_until_ms:
-            self.others_known = self._others(typical, now_ms)
-            self.others_until_ms = now_ms + OTHERS_KEPT_MS
-        return self.others_known
+        if self.peer_load_cache is None or now_ms >= self.peer_load_expires_ms:
+            self.peer_load_cache = self._estimate_peer_load(typical, now_ms)
+            self.peer_load_expires_ms = now_ms + PEER_LOAD_TTL_MS
+        return self.peer_load_cache
 
     def share(self) -> messages.UpstreamShare:
         """Return what the peers are told of this VM's requests."""
         held = int(self.own_forecast.means[0])
-        return messages.UpstreamShare(self.info.upstream, len(self.own), held)
-
-    def _others(self, typical: memory.MemoryForecast, now_ms: float) -> Others:
-        if now_ms - self.peers_heard_ms > DIGEST_KEPT_MS:
-            return self._others_by_report(typical)
-        running, held = self._told(now_ms)
-        running += self.untold_running
-        held += self.untold_tokens
+        return messages.UpstreamShare(
+            self.info.upstream, len(self.own_requests), held
+        )
+
+    def _estimate_peer_load(
+        self, typical: memory.MemoryForecast, now_ms: float
+    ) -> PeerLoad:
+        if now_ms - self.last_digest_ms > DIGEST_TTL_MS:
+            return self._peer_load_from_report(typical)
+        running, held = self._announced_totals(now_ms)
+        running += self.unannounced_running
+        held += self.unannounced_tokens
         forecast = memory.MemoryForecast()
         forecast.add_scaled(typical, held / max(1.0, typical.means[0]))
-        return Others(running, forecast)
+        return PeerLoad(running, forecast)
 
-    def _told(self, now_ms: float) -> tuple[float, float]:
+    def _announced_totals(self, now_ms: float) -> tuple[float, float]:
         fresh = [
             holding.digest
-            for holding in self.peers.values()
-            if now_ms - holding.heard_ms <= DIGEST_KEPT_MS
+            for holding in self.peer_digests.values()
+            if now_ms - holding.received_ms <= DIGEST_TTL_MS
         ]
         running = sum(digest.running for digest in fresh)
         return running, sum(digest.expected_tokens for digest in fresh)
 
-    def _learn_untold(self, load: messages.EngineLoad, now_ms: float) -> None:
+    def _update_unannounced(
+        self, load: messages.EngineLoad, now_ms: float
+    ) -> None:
         # Peers in other zones do not tell this VM what they hold; what
         # the report shows beyond what was told is theirs.
-        running, held = self._told(now_ms)
-        running = load.running + load.waiting - running - len(self.own)
+        running, held = self._announced_totals(now_ms)
+        running = (
+            load.running + load.waiting - running - len(self.own_requests)
+        )
         held = load.kv_tokens_used - held - self.own_forecast.means[0]
-        part = UNTOLD_SMOOTHING
-        self.untold_running += part * (running - self.untold_running)
-        self.untold_tokens += part * (held - self.untold_tokens)
-        self.untold_running = max(0.0, self.untold_running)
-        self.untold_tokens = max(0.0, self.untold_tokens)
-
-    def _others_by_report(self, typical: memory.MemoryForecast) -> Others:
+        part = UNANNOUNCED_SMOOTHING
+        self.unannounced_running += part * (running - self.unannounced_running)
+        self.unannounced_tokens += part * (held - self.unannounced_tokens)
+        self.unannounced_running = max(0.0, self.unannounced_running)
+        self.unannounced_tokens = max(0.0, self.unannounced_tokens)
+
+    def _peer_load_from_report(
+        self, typical: memory.MemoryForecast
+    ) -> PeerLoad:
         forecast = memory.MemoryForecast()
         if self.load is None:
-            return Others(0.0, forecast)
+            return PeerLoad(0.0, forecast)
         running = self.load.running + self.load.waiting
         running = max(0, running - self.own_running_reported)
         used = self.load.kv_tokens_used - self.own_tokens_reported
         if typical.means[0] > 0:
             scale = max(0.0, used) / typical.means[0]
             forecast.add_scaled(typical, scale)
-        return Others(running, forecast)
-
-    def _refresh_one(self, held: HeldRequest) -> None:
-        self.own_forecast.add(held.footprint, -1)
-        held.footprint = memory.footprint(
-            held.length_class,
-            held.profile.prompt_tokens,
-            held.produced,
-            held.max_tokens,
+        return PeerLoad(running, forecast)
+
+    def _refresh_forecast(self, request: ActiveRequest) -> None:
+        self.own_forecast.add(request.footprint, -1)
+        request.footprint = memory.footprint(
+            request.length_class,
+            request.profile.prompt_tokens,
+            request.produced,
+            request.max_tokens,
         )
-        held.forecast_at = held.produced
-        self.own_forecast.add(held.footprint)
+        request.forecast_produced = request.produced
+        self.own_forecast.add(request.footprint)
--- a/eelgrassknot/policy/health.py
+++ b/eelgrassknot/policy/health.py
@@ -23,15 +23,15 @@
 FAILURES_TO_EJECT = 3
 FIRST_EJECTION_MS = 5_000.0
 MAX_EJECTION_MS = 120_000.0
-MIN_IN_USE = 0.5
+MIN_IN_USE_SHARE = 0.5
 SLOW_RATIO = 2.0
-MIN_SAMPLES = 40
-KEPT_TOKENS = 2_000.0
-MIN_PEERS = 3
-START_ALLOWANCE = 2.0
+MIN_SAMPLES_TO_COMPARE = 40
+WINDOW_TOKENS = 2_000.0
+MIN_COMPARED_UPSTREAMS = 3
+INITIAL_ALLOWANCE = 2.0
 ALLOWANCE_DOUBLING_MS = 2_000.0
 FULL_ALLOWANCE = 256.0
-MUTE_MS = 500.0
+UNRESPONSIVE_MS = 500.0
 """An upstream that has sent nothing for so long, though asked, is mute; ms.
 Ten times the work of a call, which leaves room for a queue."""
 
@@ -46,49 +46,49 @@
         unheard_ms: Since when it has sent nothing while asked, or None.
     """
 
-    def __init__(self, returned_ms: float) -> None:
+    def __init__(self, slow_start_ms: float) -> None:
         self.failures = 0
         self.ejections = 0
         self.ejected_until_ms: float | None = None
-        self.span_ms = 0.0
+        self.token_time_ms = 0.0
         self.tokens = 0.0
-        self.samples = 0
-        self.returned_ms = returned_ms
-        self.asked = 0
-        self.unheard_ms: float | None = None
+        self.sample_count = 0
+        self.slow_start_ms = slow_start_ms
+        self.unanswered = 0
+        self.silent_since_ms: float | None = None
 
     @property
     def interval_ms(self) -> float:
         """Smoothed time that it takes to produce one token."""
-        return self.span_ms / self.tokens if self.tokens else 0.0
+        return self.token_time_ms / self.tokens if self.tokens else 0.0
 
-    def produced(self, count: int, span_ms: float) -> None:
+    def record_tokens(self, count: int, span_ms: float) -> None:
         """Take in that one stream produced tokens.
 
         Args:
             count: How many.
             span_ms: Time since that stream's tokens before.
         """
-        self.samples += 1
+        self.sample_count += 1
         self.tokens += count
-        self.span_ms += span_ms
-        if self.tokens > KEPT_TOKENS:
+        self.token_time_ms += span_ms
+        if self.tokens > WINDOW_TOKENS:
             self.tokens *= 0.5
-            self.span_ms *= 0.5
+            self.token_time_ms *= 0.5
 
     def is_unresponsive(self, now_ms: float) -> bool:
         """Return whether it answers nobody."""
-        if self.unheard_ms is None:
+        if self.silent_since_ms is None:
             return False
-        return now_ms - self.unheard_ms > MUTE_MS
+        return now_ms - self.silent_since_ms > UNRESPONSIVE_MS
 
     def allowance(self, now_ms: float) -> float:
         """Return how many requests it may run in its slow start."""
-        age_ms = now_ms - self.returned_ms
+        age_ms = now_ms - self.slow_start_ms
         doublings = age_ms / ALLOWANCE_DOUBLING_MS
         if doublings > 8:
             return math.inf
-        return START_ALLOWANCE * 2.0**doublings
+        return INITIAL_ALLOWANCE * 2.0**doublings
 
 
 class HealthTracker:
@@ -98,8 +98,8 @@
         self.upstreams: dict[ids.UpstreamId, UpstreamHealth] = {}
         self.known_since_ms: float | None = None
 
-    def ensure(
-        self, upstream: ids.UpstreamId, now_ms: float, fresh: bool
+    def get_or_create(
+        self, upstream: ids.UpstreamId, now_ms: float, slow_start: bool
     ) -> UpstreamHealth:
         """Return an upstream's health, made if need be.
 
@@ -111,7 +111,7 @@
         """
         found = self.upstreams.get(upstream)
         if found is None:
-            found = UpstreamHealth(now_ms if fresh else -math.inf)
+            found = UpstreamHealth(now_ms if slow_start else -math.inf)
             self.upstreams[upstream] = found
         return found
 
@@ -133,12 +133,12 @@
         for upstream in upstreams:
             until_ms = self._ejected_until(upstream, now_ms)
             if until_ms is None and self.is_unresponsive(upstream, now_ms):
-                until_ms = now_ms + MUTE_MS
+                until_ms = now_ms + UNRESPONSIVE_MS
             if until_ms is None:
                 healthy.append(upstream)
             else:
                 ejected.append((until_ms, upstream))
-        floor = math.ceil(len(upstreams) * MIN_IN_USE)
+        floor = math.ceil(len(upstreams) * MIN_IN_USE_SHARE)
         if len(healthy) < floor:
             ejected.sort()
             missing = floor - len(healthy)
@@ -147,7 +147,7 @@
 
     def record_failure(self, upstream: ids.UpstreamId, now_ms: float) -> None:
         """Count a failed attempt to use an upstream."""
-        health = self.ensure(upstream, now_ms, False)
+        health = self.get_or_create(upstream, now_ms, False)
         health.failures += 1
         if health.failures >= FAILURES_TO_EJECT:
             self._eject(health, now_ms)
@@ -160,10 +160,10 @@
 
     def request_sent(self, upstream: ids.UpstreamId, now_ms: float) -> None:
         """Count a call that an upstream is to answer."""
-        health = self.ensure(upstream, now_ms, False)
-        health.asked += 1
-        if health.unheard_ms is None:
-            health.unheard_ms = now_ms
+        health = self.get_or_create(upstream, now_ms, False)
+        health.unanswered += 1
+        if health.silent_since_ms is None:
+            health.silent_since_ms = now_ms
 
     def response_started(
         self, upstream: ids.UpstreamId, now_ms: float
@@ -171,16 +171,16 @@
         """Count the first bytes of an answer."""
         health = self.upstreams.get(upstream)
         if health is not None:
-            health.asked = max(0, health.asked - 1)
-            health.unheard_ms = now_ms if health.asked else None
+            health.unanswered = max(0, health.unanswered - 1)
+            health.silent_since_ms = now_ms if health.unanswered else None
 
     def request_abandoned(self, upstream: ids.UpstreamId) -> None:
         """Count a call that waits no longer for its answer."""
         health = self.upstreams.get(upstream)
         if health is not None:
-            health.asked = max(0, health.asked - 1)
-            if not health.asked:
-                health.unheard_ms = None
+            health.unanswered = max(0, health.unanswered - 1)
+            if not health.unanswered:
+                health.silent_since_ms = None
 
     def is_unresponsive(self, upstream: ids.UpstreamId, now_ms: float) -> bool:
         """Return whether an upstream answers nobody at this time."""
@@ -189,7 +189,7 @@
 
     def eject(self, upstream: ids.UpstreamId, now_ms: float) -> None:
         """Eject an upstream on evidence that needs no repetition."""
-        self._eject(self.ensure(upstream, now_ms, False), now_ms)
+        self._eject(self.get_or_create(upstream, now_ms, False), now_ms)
 
     def eject_slow(
         self, upstreams: Sequence[ids.UpstreamId], now_ms: float
@@ -208,9 +208,9 @@
             for upstream in upstreams
             if self._ejected_until(upstream, now_ms) is None
             and upstream in self.upstreams
-            and self.upstreams[upstream].samples >= MIN_SAMPLES
+            and self.upstreams[upstream].sample_count >= MIN_SAMPLES_TO_COMPARE
         ]
-        if len(known) < MIN_PEERS:
+        if len(known) < MIN_COMPARED_UPSTREAMS:
             return []
         usual_ms = statistics.median(
             self.upstreams[upstream].interval_ms for upstream in known
@@ -249,13 +249,13 @@
             return None
         if now_ms < health.ejected_until_ms:
             return health.ejected_until_ms
-        self._return_on_trial(health, now_ms)
+        self._start_probation(health, now_ms)
         return None
 
-    def _return_on_trial(self, health: UpstreamHealth, now_ms: float) -> None:
+    def _start_probation(self, health: UpstreamHealth, now_ms: float) -> None:
         health.ejected_until_ms = None
         health.failures = FAILURES_TO_EJECT - 1
-        health.samples = 0
+        health.sample_count = 0
         health.tokens = 0.0
-        health.span_ms = 0.0
-        health.returned_ms = now_ms
+        health.token_time_ms = 0.0
+        health.slow_start_ms = now_ms
--- a/eelgrassknot/policy/length.py
+++ b/eelgrassknot/policy/length.py
@@ -73,12 +73,12 @@
         self.hazards = list(_PRIOR)
         self.survival = [1.0] * (BIN_COUNT + 1)
         self.weight = 1.0
-        self.weight_ms: float | None = None
-        self.built_ms = -math.inf
+        self.weight_reference_ms: float | None = None
+        self.last_update_ms = -math.inf
         self.expected = self.mean()
-        self.builds = 0
+        self.curve_version = 0
 
-    def reached(self, first: int, last: int, now_ms: float) -> None:
+    def record_reached(self, first: int, last: int, now_ms: float) -> None:
         """Count a request as having reached bins.
 
         Args:
@@ -90,18 +90,18 @@
         for index in range(first, last + 1):
             self.exposure[index] += weight
 
-    def ended(self, index: int, now_ms: float) -> None:
+    def record_end(self, index: int, now_ms: float) -> None:
         """Count a request as having ended of itself in a bin."""
         self.ends[index] += self._weight_at(now_ms)
 
-    def build(self, now_ms: float) -> None:
+    def update_curve(self, now_ms: float) -> None:
         """Bring the survival curve up to date, at most once a second."""
-        if now_ms - self.built_ms < REBUILD_INTERVAL_MS:
+        if now_ms - self.last_update_ms < REBUILD_INTERVAL_MS:
             return
-        self.built_ms = now_ms
+        self.last_update_ms = now_ms
         base = _PRIOR
         if self.parent is not None:
-            self.parent.build(now_ms)
+            self.parent.update_curve(now_ms)
             base = self.parent.hazards
         strength = PRIOR_STRENGTH * self._weight_at(now_ms)
         alive = 1.0
@@ -113,7 +113,7 @@
             alive *= 1.0 - hazard
             self.survival[index + 1] = alive
         self.expected = self.mean()
-        self.builds += 1
+        self.curve_version += 1
 
     def survival_at(self, tokens: float) -> float:
         """Return the chance that an output is longer than ``tokens``."""
@@ -137,13 +137,13 @@
         return total
 
     def _weight_at(self, now_ms: float) -> float:
-        if self.weight_ms is None:
-            self.weight_ms = now_ms
-        age_ms = now_ms - self.weight_ms
+        if self.weight_reference_ms is None:
+            self.weight_reference_ms = now_ms
+        age_ms = now_ms - self.weight_reference_ms
         weight = 2.0 ** (age_ms / HALF_LIFE_MS)
         if weight > MAX_WEIGHT:
             self._rescale(weight)
-            self.weight_ms = now_ms
+            self.weight_reference_ms = now_ms
             return 1.0
         return weight
 
@@ -162,57 +162,57 @@
     def __init__(self, histograms: tuple[SurvivalHistogram, ...]) -> None:
         self.histograms = histograms
         self.finest = histograms[-1]
-        self.chances: tuple[float, ...] = ()
-        self.chances_build = -1
+        self.probabilities: tuple[float, ...] = ()
+        self.probabilities_version = -1
 
-    def started(self, now_ms: float) -> None:
+    def record_start(self, now_ms: float) -> None:
         """Count a request that has started."""
         for histogram in self.histograms:
-            histogram.reached(0, 0, now_ms)
+            histogram.record_reached(0, 0, now_ms)
 
-    def progressed(self, before: int, after: int, now_ms: float) -> None:
+    def record_progress(self, before: int, after: int, now_ms: float) -> None:
         """Count a running request's way from one length to another."""
         first = _bin_of(before)
         last = _bin_of(after)
         if last == first:
             return
         for histogram in self.histograms:
-            histogram.reached(first + 1, last, now_ms)
+            histogram.record_reached(first + 1, last, now_ms)
 
-    def ended(self, produced: int, now_ms: float) -> None:
+    def record_end(self, produced: int, now_ms: float) -> None:
         """Count a request that ended of itself; others need no word."""
         index = _bin_of(produced)
         for histogram in self.histograms:
-            histogram.ended(index, now_ms)
+            histogram.record_end(index, now_ms)
 
     @property
     def expected(self) -> float:
         """Expected length of an output in tokens."""
         return self.finest.expected
 
-    def chances_at(self, lengths: tuple[int, ...]) -> tuple[float, ...]:
+    def survival_at_all(self, lengths: tuple[int, ...]) -> tuple[float, ...]:
         """Return the chance that a new output outlasts each length.
 
         Args:
             lengths: Lengths in tokens; always the same ones.
         """
         finest = self.finest
-        if self.chances_build != finest.builds:
-            self.chances_build = finest.builds
-            self.chances = tuple(finest.survival_at(x) for x in lengths)
-        return self.chances
+        if self.probabilities_version != finest.curve_version:
+            self.probabilities_version = finest.curve_version
+            self.probabilities = tuple(finest.survival_at(x) for x in lengths)
+        return self.probabilities
 
-    def chance_longer(self, ahead: float, produced: int) -> float:
+    def probability_of_more(self, ahead: float, produced: int) -> float:
         """Return the chance of at least ``ahead`` more tokens.
 
         Args:
             ahead: Tokens from now.
             produced: Tokens produced so far.
         """
-        here = self.finest.survival_at(produced)
-        if here <= 1e-9:
+        current = self.finest.survival_at(produced)
+        if current <= 1e-9:
             return 0.5
-        return self.finest.survival_at(produced + ahead) / here
+        return self.finest.survival_at(produced + ahead) / current
 
 
 class LengthPredictor:
@@ -229,7 +229,7 @@
     """
 
     def __init__(self) -> None:
-        self.services: dict[tuple, SurvivalHistogram] = {}
+        self.parent_histograms: dict[tuple, SurvivalHistogram] = {}
         self.classes: dict[tuple, LengthClass] = {}
 
     def length_class(
@@ -249,18 +249,18 @@
         if found is None:
             found = self._new_class(service, account)
             self.classes[key] = found
-        found.finest.build(now_ms)
+        found.finest.update_curve(now_ms)
         return found
 
     def _new_class(self, service: str, account: str) -> LengthClass:
-        whole = self._coarse((service,), None)
-        by_account = self._coarse((service, account), whole)
+        whole = self._parent_histogram((service,), None)
+        by_account = self._parent_histogram((service, account), whole)
         finest = SurvivalHistogram(by_account)
         return LengthClass((whole, by_account, finest))
 
-    def _coarse(
+    def _parent_histogram(
         self, key: tuple, parent: SurvivalHistogram | None
     ) -> SurvivalHistogram:
-        if key not in self.services:
-            self.services[key] = SurvivalHistogram(parent)
-        return self.services[key]
+        if key not in self.parent_histograms:
+            self.parent_histograms[key] = SurvivalHistogram(parent)
+        return self.parent_histograms[key]
--- a/eelgrassknot/policy/limits.py
+++ b/eelgrassknot/policy/limits.py
@@ -28,9 +28,9 @@
 TOKEN_BURST_S = 60.0
 SECONDS_PER_MINUTE = 60.0
 DEMAND_HALF_LIFE_MS = 5_000.0
-SHARE_INTERVAL_MS = 500.0
+REBALANCE_INTERVAL_MS = 500.0
 IDLE_DEMAND_PER_S = 0.05
-PEER_SILENT_MS = 5_000.0
+PEER_TIMEOUT_MS = 5_000.0
 
 
 class AccountShare:
@@ -46,11 +46,11 @@
     ) -> None:
         self.account = account
         self.share = share
-        self.requests: token_bucket.TokenBucket | None = None
-        self.tokens: token_bucket.TokenBucket | None = None
+        self.requests_bucket: token_bucket.TokenBucket | None = None
+        self.tokens_bucket: token_bucket.TokenBucket | None = None
         self.demand_per_s = 0.0
         self.demand_ms = 0.0
-        self.peers: dict[ids.VmId, float] = {}
+        self.peer_demands: dict[ids.VmId, float] = {}
         self.resize(account, share, 0.0)
 
     def resize(
@@ -63,18 +63,23 @@
         self.account = account
         self.share = share
         rate = account.requests_per_second
-        self.requests = _resized(
-            self.requests, rate, share, BURST_S, MIN_BURST_REQUESTS, now_ms
+        self.requests_bucket = _resized(
+            self.requests_bucket,
+            rate,
+            share,
+            BURST_S,
+            MIN_BURST_REQUESTS,
+            now_ms,
         )
         per_minute = account.tokens_per_minute
         per_s = None if per_minute is None else per_minute / SECONDS_PER_MINUTE
-        self.tokens = _resized(
-            self.tokens, per_s, share, TOKEN_BURST_S, 1.0, now_ms
+        self.tokens_bucket = _resized(
+            self.tokens_bucket, per_s, share, TOKEN_BURST_S, 1.0, now_ms
         )
 
-    def count(self, now_ms: float) -> None:
+    def record_request(self, now_ms: float) -> None:
         """Count a request in the account's demand at this VM."""
-        self.demand_per_s = self.demand(now_ms) + 1 / _mean_life_s()
+        self.demand_per_s = self.demand(now_ms) + 1 / _demand_mean_lifetime_s()
         self.demand_ms = now_ms
 
     def demand(self, now_ms: float) -> float:
@@ -96,8 +101,8 @@
         self.shares: dict[ids.ClientAccountId, AccountShare] = {}
         self.vm_count = 1
         self.zone_count = 1
-        self.peers_heard_ms: dict[ids.VmId, float] = {}
-        self.shared_ms = 0.0
+        self.peer_contact_ms: dict[ids.VmId, float] = {}
+        self.last_rebalance_ms = 0.0
 
     def configure(
         self,
@@ -127,14 +132,14 @@
         share = self.shares.get(account)
         if share is None:
             return 0.0
-        share.count(now_ms)
+        share.record_request(now_ms)
         wait_ms = 0.0
-        if share.requests is not None:
-            wait_ms = share.requests.wait_ms(1.0, now_ms)
-        if share.tokens is not None:
-            wait_ms = max(wait_ms, share.tokens.wait_ms(1.0, now_ms))
-        if wait_ms == 0.0 and share.requests is not None:
-            share.requests.spend(1.0, now_ms)
+        if share.requests_bucket is not None:
+            wait_ms = share.requests_bucket.wait_ms(1.0, now_ms)
+        if share.tokens_bucket is not None:
+            wait_ms = max(wait_ms, share.tokens_bucket.wait_ms(1.0, now_ms))
+        if wait_ms == 0.0 and share.requests_bucket is not None:
+            share.requests_bucket.spend(1.0, now_ms)
         return wait_ms
 
     def charge(
@@ -142,8 +147,8 @@
     ) -> None:
         """Charge tokens as they stream."""
         share = self.shares.get(account)
-        if share is not None and share.tokens is not None:
-            share.tokens.spend(tokens, now_ms)
+        if share is not None and share.tokens_bucket is not None:
+            share.tokens_bucket.spend(tokens, now_ms)
 
     def demands(self, now_ms: float) -> dict[ids.ClientAccountId, float]:
         """Return what this VM tells its peers: requests a second."""
@@ -153,7 +158,9 @@
             if share.demand(now_ms) > IDLE_DEMAND_PER_S
         }
 
-    def know_vms(self, count: int, zone_count: int, now_ms: float) -> None:
+    def set_vm_counts(
+        self, count: int, zone_count: int, now_ms: float
+    ) -> None:
         """Take in how many VMs share the limits.
 
         Args:
@@ -164,22 +171,22 @@
         before = self.zone_count / self.vm_count
         self.vm_count = max(1, count)
         self.zone_count = min(max(1, zone_count), self.vm_count)
-        for vm in self._silent(now_ms):
-            del self.peers_heard_ms[vm]
+        for vm in self._silent_peers(now_ms):
+            del self.peer_contact_ms[vm]
             for share in self.shares.values():
-                share.peers.pop(vm, None)
+                share.peer_demands.pop(vm, None)
         change = self.zone_count / self.vm_count / before
         for share in self.shares.values():
             part = share.share * change
-            if not self.peers_heard_ms:
+            if not self.peer_contact_ms:
                 part = 1.0 / self.vm_count
             share.resize(share.account, min(1.0, part), now_ms)
 
-    def heard_from(self, vm: ids.VmId, now_ms: float) -> None:
+    def record_peer_contact(self, vm: ids.VmId, now_ms: float) -> None:
         """Note that a peer of this zone was heard, whatever it said."""
-        self.peers_heard_ms[vm] = now_ms
+        self.peer_contact_ms[vm] = now_ms
 
-    def heard(
+    def record_peer_demand(
         self,
         vm: ids.VmId,
         account: ids.ClientAccountId,
@@ -187,39 +194,39 @@
         now_ms: float,
     ) -> None:
         """Take in what a peer says of an account's demand."""
-        self.heard_from(vm, now_ms)
+        self.record_peer_contact(vm, now_ms)
         share = self.shares.get(account)
         if share is not None:
-            share.peers[vm] = requests_per_s
+            share.peer_demands[vm] = requests_per_s
 
-    def update(self, now_ms: float) -> None:
+    def rebalance(self, now_ms: float) -> None:
         """Share the limits anew by demand, if enough time has passed."""
-        if now_ms - self.shared_ms < SHARE_INTERVAL_MS:
+        if now_ms - self.last_rebalance_ms < REBALANCE_INTERVAL_MS:
             return
-        self.shared_ms = now_ms
-        if not self.peers_heard_ms or self._silent(now_ms):
+        self.last_rebalance_ms = now_ms
+        if not self.peer_contact_ms or self._silent_peers(now_ms):
             return
         for share in self.shares.values():
-            self._reshare(share, now_ms)
+            self._rebalance_account(share, now_ms)
 
-    def _silent(self, now_ms: float) -> list[ids.VmId]:
+    def _silent_peers(self, now_ms: float) -> list[ids.VmId]:
         return [
             vm
-            for vm, heard_ms in self.peers_heard_ms.items()
-            if now_ms - heard_ms > PEER_SILENT_MS
+            for vm, heard_ms in self.peer_contact_ms.items()
+            if now_ms - heard_ms > PEER_TIMEOUT_MS
         ]
 
-    def _reshare(self, share: AccountShare, now_ms: float) -> None:
+    def _rebalance_account(self, share: AccountShare, now_ms: float) -> None:
         own = share.demand(now_ms) + IDLE_DEMAND_PER_S
         total = own + sum(
-            share.peers.get(vm, 0.0) + IDLE_DEMAND_PER_S
-            for vm in self.peers_heard_ms
+            share.peer_demands.get(vm, 0.0) + IDLE_DEMAND_PER_S
+            for vm in self.peer_contact_ms
         )
         zone_part = self.zone_count / self.vm_count
         share.resize(share.account, zone_part * own / total, now_ms)
 
 
-def _mean_life_s() -> float:
+def _demand_mean_lifetime_s() -> float:
     return DEMAND_HALF_LIFE_MS / clock.MS_PER_SECOND / 0.6931
 
 
@@ -228,13 +235,13 @@
     rate: float | None,
     share: float,
     burst_s: float,
-    least_burst: float,
+    min_burst: float,
     now_ms: float,
 ) -> token_bucket.TokenBucket | None:
     if rate is None:
         return None
     part = rate * share
-    burst = max(least_burst, part * burst_s)
+    burst = max(min_burst, part * burst_s)
     if bucket is None:
         return token_bucket.TokenBucket(part, burst)
     bucket.resize(part, burst, now_ms)
--- a/eelgrassknot/policy/placement.py
+++ b/eelgrassknot/policy/placement.py
@@ -26,13 +26,13 @@
 
 __all__ = ['Placement', 'PlacementOptions']
 
-SAMPLED = 4
-KNOWN_TOTAL_TOKENS = 16_384
-USABLE_MEMORY = 0.95
+SAMPLE_SIZE = 4
+DEFAULT_CAPACITY_TOKENS = 16_384
+USABLE_MEMORY_SHARE = 0.95
 PREFILL_SCALE_TOKENS = 1_024
 OTHER_ZONE_COST = 0.02
-PROFILE_INTERVAL_MS = 1_000.0
-UNLEARNED_PROMPT_TOKENS = 500
+TYPICAL_INTERVAL_MS = 1_000.0
+PRIOR_PROMPT_TOKENS = 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -59,8 +59,8 @@
     feedback: bool = True
     ejection: bool = True
     fairness: bool = True
-    lane: bool = True
-    sampled: int = SAMPLED
+    long_prompts: bool = True
+    sample_size: int = SAMPLE_SIZE
 
 
 class Placement:
@@ -81,12 +81,12 @@
         self.availability_zone = availability_zone
         self.generator = generator
         self.options = options
-        self.lane = prefill_lane.LongPromptLane()
-        self.typical = _unlearned()
-        self.learned = False
-        self.typical_ms = -PROFILE_INTERVAL_MS
+        self.long_prompt_engines = prefill_lane.LongPromptEngines()
+        self.typical_request = _prior_forecast()
+        self.has_observed = False
+        self.last_typical_ms = -TYPICAL_INTERVAL_MS
 
-    def learn(
+    def update_typical(
         self, views: Sequence[engine_view.EngineView], now_ms: float
     ) -> None:
         """Bring the forecast of a typical running request up to date.
@@ -98,32 +98,32 @@
             views: Engines of the service.
             now_ms: The present time.
         """
-        if now_ms - self.typical_ms < PROFILE_INTERVAL_MS:
+        if now_ms - self.last_typical_ms < TYPICAL_INTERVAL_MS:
             return
-        self.typical_ms = now_ms
+        self.last_typical_ms = now_ms
         count = sum(view.own_forecast.count for view in views)
         if not count:
             return
         typical = memory.MemoryForecast()
         for view in views:
             typical.add_scaled(view.own_forecast, 1.0 / count)
-        if not self.learned:
-            self.learned = True
-            self.typical = typical
+        if not self.has_observed:
+            self.has_observed = True
+            self.typical_request = typical
             return
         smoothed = memory.MemoryForecast()
-        smoothed.add_scaled(self.typical, 0.8)
+        smoothed.add_scaled(self.typical_request, 0.8)
         smoothed.add_scaled(typical, 0.2)
-        self.typical = smoothed
+        self.typical_request = smoothed
 
     def choose(
         self,
         profile: messages.RequestProfile,
         footprint: memory.Footprint,
         views: Sequence[engine_view.EngineView],
-        knobs: objective.Knobs,
+        tuning: objective.PlacementTuning,
         affinity: prefix.PrefixAffinity,
-        book: health.HealthTracker,
+        health_tracker: health.HealthTracker,
         now_ms: float,
     ) -> engine_view.EngineView | None:
         """Return the engine for a request, or None if all are crowded.
@@ -139,25 +139,25 @@
         """
         best = None
         best_cost = math.inf
-        home = self._home(views, profile.prefixes)
+        preferred = self._preferred_engine(views, profile.prefixes)
         prompt = profile.prompt_tokens
-        for view in self._sample(views, home):
-            others = view.others(self.typical, now_ms)
-            running = len(view.own) + others.running
-            total = _total_tokens(view)
+        for view in self._sample(views, preferred):
+            others = view.peer_load(self.typical_request, now_ms)
+            running = len(view.own_requests) + others.running
+            total = _capacity_tokens(view)
             present = view.own_forecast.means[0] + others.forecast.means[0]
             # The peak is never below what is present, which is cheap to
             # know; the forecast is made only where it can matter.
-            if running and present + prompt > total * USABLE_MEMORY:
+            if running and present + prompt > total * USABLE_MEMORY_SHARE:
                 continue
-            cost = self._cost(profile, view, knobs, affinity)
+            cost = self._cost(profile, view, tuning, affinity)
             if cost + present / total >= best_cost:
                 continue
-            allowance = book.allowance(view.info.upstream, now_ms)
-            if running and self._is_closed(view, running, allowance):
+            allowance = health_tracker.allowance(view.info.upstream, now_ms)
+            if running and self._is_at_limit(view, running, allowance):
                 continue
-            peak = self._peak(footprint, view, others, knobs)
-            if running and peak > total * USABLE_MEMORY:
+            peak = self._peak(footprint, view, others, tuning)
+            if running and peak > total * USABLE_MEMORY_SHARE:
                 continue
             cost += peak / total
             if cost < best_cost:
@@ -167,22 +167,22 @@
 
     def running(self, view: engine_view.EngineView, now_ms: float) -> int:
         """Return how many requests an engine is believed to run."""
-        others = view.others(self.typical, now_ms)
-        return int(len(view.own) + others.running)
+        others = view.peer_load(self.typical_request, now_ms)
+        return int(len(view.own_requests) + others.running)
 
     def _sample(
         self,
         views: Sequence[engine_view.EngineView],
         home: engine_view.EngineView | None,
     ) -> Sequence[engine_view.EngineView]:
-        if len(views) <= self.options.sampled:
+        if len(views) <= self.options.sample_size:
             return views
-        found = self.generator.sample(views, self.options.sampled)
+        found = self.generator.sample(views, self.options.sample_size)
         if home is not None and home not in found:
             found.append(home)
         return found
 
-    def _home(
+    def _preferred_engine(
         self,
         views: Sequence[engine_view.EngineView],
         prefixes: tuple[str, ...],
@@ -194,10 +194,10 @@
         digest = xxhash.xxh64_intdigest(prefixes[0].encode())
         return views[digest % len(views)]
 
-    def _is_closed(
+    def _is_at_limit(
         self, view: engine_view.EngineView, running: float, allowance: float
     ) -> bool:
-        if len(view.own) >= allowance:
+        if len(view.own_requests) >= allowance:
             return True
         return self.options.feedback and running >= view.limit.limit
 
@@ -205,7 +205,7 @@
         self,
         profile: messages.RequestProfile,
         view: engine_view.EngineView,
-        knobs: objective.Knobs,
+        knobs: objective.PlacementTuning,
         affinity: prefix.PrefixAffinity,
     ) -> float:
         name = view.info.upstream
@@ -213,8 +213,10 @@
         if self.options.affinity:
             uncovered -= affinity.covered_tokens(name, profile.prefixes)
         cost = max(0, uncovered) / PREFILL_SCALE_TOKENS
-        if self.options.lane and not self.lane.fits(name, uncovered):
-            cost += knobs.lane_weight
+        if self.options.long_prompts and not self.long_prompt_engines.suits(
+            name, uncovered
+        ):
+            cost += knobs.long_prompt_weight
         if view.info.availability_zone != self.availability_zone:
             cost += OTHER_ZONE_COST
         return cost
@@ -223,8 +225,8 @@
         self,
         footprint: memory.Footprint,
         view: engine_view.EngineView,
-        others: engine_view.Others,
-        knobs: objective.Knobs,
+        others: engine_view.PeerLoad,
+        knobs: objective.PlacementTuning,
     ) -> float:
         own = view.own_forecast
         if not self.options.forecast:
@@ -234,19 +236,19 @@
         return own.peak_with(others.forecast, footprint, deviations)
 
 
-def _total_tokens(view: engine_view.EngineView) -> int:
+def _capacity_tokens(view: engine_view.EngineView) -> int:
     if view.load is None:
-        return KNOWN_TOTAL_TOKENS
+        return DEFAULT_CAPACITY_TOKENS
     return view.load.kv_tokens_total
 
 
-def _unlearned() -> memory.MemoryForecast:
+def _prior_forecast() -> memory.MemoryForecast:
     forecast = memory.MemoryForecast()
     length_class = length.LengthPredictor().length_class('', '', 0, 0.0)
     forecast.add(
         memory.new_footprint(
             length_class,
-            UNLEARNED_PROMPT_TOKENS,
+            PRIOR_PROMPT_TOKENS,
             services_text.DEFAULT_MAX_TOKENS,
         )
     )
--- a/eelgrassknot/policy/retry_budget.py
+++ b/eelgrassknot/policy/retry_budget.py
@@ -8,8 +8,8 @@
 __all__ = ['RetryBudget']
 
 RETRIES_PER_REQUEST = 0.2
-MAX_SAVED_RETRIES = 20.0
-START_SHARE = 0.25
+MAX_BALANCE = 20.0
+INITIAL_SHARE = 0.25
 """Part of its share with which a VM starts; a shed call or two can be sent
 again before requests have earned it."""
 
@@ -30,12 +30,12 @@
     def __init__(
         self,
         retries_per_request: float = RETRIES_PER_REQUEST,
-        max_balance: float = MAX_SAVED_RETRIES,
+        max_balance: float = MAX_BALANCE,
         saved: float | None = None,
     ) -> None:
         self.retries_per_request = retries_per_request
         self.max_balance = max_balance
-        self.saved = max_balance if saved is None else saved
+        self.balance = max_balance if saved is None else saved
 
     @classmethod
     def for_vm(cls, retries_per_request: float, share: float) -> 'RetryBudget':
@@ -52,12 +52,12 @@
             >>> RetryBudget.for_vm(0.2, 8.0).saved
             2.0
         """
-        kept = share * (1 - START_SHARE)
-        return cls(retries_per_request, kept, share * START_SHARE)
+        kept = share * (1 - INITIAL_SHARE)
+        return cls(retries_per_request, kept, share * INITIAL_SHARE)
 
     def set_share(self, share: float) -> None:
         """Follow a change of this VM's share of the burst."""
-        self.set_max_balance(share * (1 - START_SHARE))
+        self.set_max_balance(share * (1 - INITIAL_SHARE))
 
     def set_max_balance(self, max_balance: float) -> None:
         """Change how many retries are saved at most.
@@ -66,17 +66,17 @@
             max_balance: This VM's share of what all VMs may save.
         """
         self.max_balance = max_balance
-        self.saved = min(self.saved, max_balance)
+        self.balance = min(self.balance, max_balance)
 
     def earn(self) -> None:
         """Count a first attempt."""
-        self.saved = min(
-            self.max_balance, self.saved + self.retries_per_request
+        self.balance = min(
+            self.max_balance, self.balance + self.retries_per_request
         )
 
     def spend(self) -> bool:
         """Return whether a retry may be made, and count it if so."""
-        if self.saved < 1.0:
+        if self.balance < 1.0:
             return False
-        self.saved -= 1.0
+        self.balance -= 1.0
         return True
--- a/tests/steps/policy_health.py
+++ b/tests/steps/policy_health.py
@@ -14,7 +14,7 @@
     context.names = list('abcd')
     context.book = health.HealthTracker()
     for name in context.names:
-        context.book.ensure(name, 0.0, False)
+        context.book.get_or_create(name, 0.0, False)
 
 
 @behave.when('"{name}" fails{rest}')
@@ -48,7 +48,7 @@
         interval_ms = slow if name == 'a' else usual
         known = context.book.upstreams[name]
         for _ in range(OBSERVATIONS):
-            known.produced(TOKENS, TOKENS * interval_ms)
+            known.record_tokens(TOKENS, TOKENS * interval_ms)
     context.book.eject_slow(context.names, context.now_ms)
 
 
--- a/tests/steps/policy_length.py
+++ b/tests/steps/policy_length.py
@@ -12,16 +12,16 @@
 def see(predictor, count, tokens, now_ms, complete=True):
     for _ in range(count):
         found = predictor.length_class('writer', 'hotel', 100, now_ms)
-        found.started(now_ms)
-        found.progressed(0, tokens, now_ms)
+        found.record_start(now_ms)
+        found.record_progress(0, tokens, now_ms)
         if complete:
-            found.ended(tokens, now_ms)
+            found.record_end(tokens, now_ms)
 
 
 def chance(context, account='hotel'):
     now_ms = context.now_ms + 2_000.0
     found = context.predictor.length_class('writer', account, 100, now_ms)
-    return found.chance_longer(200, 0)
+    return found.probability_of_more(200, 0)
 
 
 @behave.given('a predictor that has seen nothing')
@@ -77,7 +77,7 @@
         for tokens in running:
             see(predictor, 1, tokens, 0.0, False)
         found = predictor.length_class('writer', 'hotel', 100, 5_000.0)
-        chances = [found.chance_longer(2**k, 0) for k in range(17)]
+        chances = [found.probability_of_more(2**k, 0) for k in range(17)]
         assert all(0.0 <= c <= 1.0 for c in chances)
         assert chances == sorted(chances, reverse=True)
 
--- a/tests/steps/policy_limits.py
+++ b/tests/steps/policy_limits.py
@@ -31,7 +31,7 @@
                 due[index] -= 1.0
                 wait_ms = vm.admit('hotel', context.now_ms)
                 context.passed += wait_ms == 0.0
-            vm.update(context.now_ms)
+            vm.rebalance(context.now_ms)
         if context.now_ms - exchanged_ms >= EXCHANGE_MS:
             exchanged_ms = context.now_ms
             exchange(context)
@@ -44,7 +44,9 @@
     for index, vm in enumerate(context.vms):
         for other, rate in enumerate(told):
             if other != index and context.zones[other] == context.zones[index]:
-                vm.heard(f'vm-{other}', 'hotel', rate, context.now_ms)
+                vm.record_peer_demand(
+                    f'vm-{other}', 'hotel', rate, context.now_ms
+                )
 
 
 @behave.given('{count:d} VMs that share a limit of {rate:d} requests a second')
@@ -55,7 +57,7 @@
     context.vms = [limits.AccountLimits() for _ in range(count)]
     context.zones = [0] * count
     for vm in context.vms:
-        vm.know_vms(count, count, 0.0)
+        vm.set_vm_counts(count, count, 0.0)
         vm.configure((account(rate=float(rate)),), 0.0)
 
 
@@ -76,7 +78,7 @@
 def vms_cut_off(context):
     context.cut_off = True
     for vm in context.vms:
-        share = vm.shares['hotel'].requests
+        share = vm.shares['hotel'].requests_bucket
         share.spend(share.burst, context.now_ms)
 
 
@@ -95,7 +97,7 @@
 def excess_bounded(context):
     excess = context.passed - context.rate * context.span_s
     count = len(context.vms)
-    exchange_s = (EXCHANGE_MS + limits.SHARE_INTERVAL_MS) / 1_000.0
+    exchange_s = (EXCHANGE_MS + limits.REBALANCE_INTERVAL_MS) / 1_000.0
     bound = context.rate * exchange_s * (count - 1) / count
     bound += context.rate * limits.BURST_S
     assert excess <= bound, (excess, bound)
@@ -124,7 +126,7 @@
     context.zones = [0] * first + [1] * second
     for index, vm in enumerate(context.vms):
         own = context.zones.count(context.zones[index])
-        vm.know_vms(len(context.vms), own, 0.0)
+        vm.set_vm_counts(len(context.vms), own, 0.0)
 
 
 @behave.when(
@@ -144,7 +146,7 @@
             exchanged_ms = context.now_ms
             exchange(context)
             for each in context.vms:
-                each.update(context.now_ms)
+                each.rebalance(context.now_ms)
 
 
 @behave.then('at most {percent:d} percent of them are refused')
--- a/tests/steps/policy_small_parts.py
+++ b/tests/steps/policy_small_parts.py
@@ -52,7 +52,7 @@
     generator = random.Random(3)
     context.tokens = collections.Counter()
     for _ in range(count):
-        account = context.counters.lowest(context.accounts)
+        account = context.counters.least_served(context.accounts)
         tokens = generator.randint(1, 2_000)
         context.tokens[account] += tokens
         context.counters.charge(account, tokens)
@@ -68,13 +68,13 @@
 def only_large(context, count):
     for _ in range(count):
         context.counters.charge('large', 100)
-    context.counters.lift('small', ['large'])
+    context.counters.raise_to_lowest('small', ['large'])
 
 
 @behave.then('"small" is not served more than {count:d} times in a row')
 def not_in_a_row(context, count):
     row = 0
-    while context.counters.lowest(context.accounts) == 'small':
+    while context.counters.least_served(context.accounts) == 'small':
         row += 1
         context.counters.charge('small', 100)
     assert row <= count, row
@@ -151,7 +151,7 @@
     def check(steps):
         budget = region_budget.RegionBudget()
         budget.configure(services_text.RegionLink(), 7, 0.0)
-        rate = 15_000_000 / 8 * region_budget.SPILL_SHARE / 7
+        rate = 15_000_000 / 8 * region_budget.SPILLOVER_SHARE / 7
         now_ms = 0.0
         largest = 0.0
         for wait_ms, size in steps:
@@ -170,7 +170,7 @@
     names = [f'engine-{index}' for index in range(10)]
     context.lanes = []
     for order in (names, names[::-1]):
-        lane = prefill_lane.LongPromptLane()
+        lane = prefill_lane.LongPromptEngines()
         lane.assign(order)
         context.lanes.append(lane)
 
@@ -189,7 +189,7 @@
 
 @behave.when('the engine preempts')
 def engine_preempts(context):
-    context.limit.preempted(40, context.now_ms)
+    context.limit.on_preemption(40, context.now_ms)
 
 
 @behave.when('{count:d} quiet seconds pass')
@@ -197,7 +197,7 @@
     for _ in range(count):
         context.now_ms += 1_000.0
         running = int(context.limit.limit)
-        context.limit.quiet(running, context.now_ms)
+        context.limit.on_quiet_interval(running, context.now_ms)
 
 
 @behave.then('the limit is {limit:d}')
@@ -215,11 +215,11 @@
 )
 def given_flooded(context):
     given_full(context)
-    context.queue.measure(0.0)
+    context.queue.update_rate(0.0)
     for second in range(1, 4):
         context.queue.pop(context.queue.head(0.0))
         context.queue.counters.charge('flood', 400.0)
-        context.queue.measure(second * 1_000.0)
+        context.queue.update_rate(second * 1_000.0)
 
 
 @behave.then('the flooding account would wait more than {bound_s:d} s')
