--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -19,12 +19,12 @@
 from eelgrassknot.coordination import lease
 from eelgrassknot.coordination import links
 from eelgrassknot.coordination import membership_part
-from eelgrassknot.coordination import observation
 from eelgrassknot.coordination import peer_codec
 from eelgrassknot.coordination import peer_messages as messages
+from eelgrassknot.coordination import poll_schedule
 from eelgrassknot.coordination import vm_list_part
 
-__all__ = ['Target', 'main', 'plane']
+__all__ = ['main', 'plane', 'Target']
 
 PAGE = pathlib.Path(__file__).parent.parent / 'docs' / 'CAPACITY.md'
 BEGIN = '<!-- figures: written by python -m benchmarks.capacity -->\n'
@@ -170,14 +170,14 @@
     budget = max(membership_part.MIN_DIGEST_BYTES, share)
     loads = int(budget * digest.LOAD_SHARE // digest.LOAD_BYTES)
     left = budget - loads * digest.LOAD_BYTES
-    held = int(left * digest.HELD_SHARE // digest.HELD_BYTES)
+    held = int(left * digest.IN_FLIGHT_SHARE // digest.IN_FLIGHT_BYTES)
     observed = target.zone_upstreams / (peers + 1)
     streams = target.tokens_per_s / target.nodes * 0.029
     poll_ms = min(
-        observation.MAX_INTERVAL_MS,
+        poll_schedule.MAX_INTERVAL_MS,
         max(
-            observation.MIN_INTERVAL_MS,
-            observed * MS / observation.MAX_POLLS_PER_S,
+            poll_schedule.MIN_INTERVAL_MS,
+            observed * MS / poll_schedule.MAX_POLLS_PER_S,
         ),
     )
     load_age_s = (poll_ms + observed / loads * interval_ms) / MS
@@ -203,7 +203,7 @@
         MS
         / min(
             lease.MAX_POLL_MS,
-            lease.POLL_MS * (1 + rank // lease.RANKS_PER_POLL_MS),
+            lease.POLL_MS * (1 + rank // lease.RANKS_PER_POLL_STEP),
         )
         for rank in range(1, region_nodes)
     )
@@ -264,9 +264,9 @@
         for n in range(target.services)
     )
     size = len(codec.encode(messages.Heartbeat(10**6, zones=loads)))
-    per_pair = links.GATEWAYS**2 * MS / membership_part.FAR_INTERVAL_MS
+    per_pair = links.GATEWAYS**2 * MS / membership_part.REMOTE_INTERVAL_MS
     out = (target.zones - 1) * links.GATEWAYS * size
-    out *= MS / membership_part.FAR_INTERVAL_MS
+    out *= MS / membership_part.REMOTE_INTERVAL_MS
     pairs = target.zones**2 * (1 - 1 / target.regions) / 2
     bits = pairs * per_pair * size * 8
     return [
@@ -289,7 +289,7 @@
     region = target.regions / (target.regions - 1)
     moved = target.failures_per_day + target.replacements_per_day
     # A VM that comes or goes moves the observers of its own upstreams.
-    observed = observation.OBSERVERS * target.zone_upstreams
+    observed = poll_schedule.OBSERVERS * target.zone_upstreams
     observed /= target.zone_peers + 1
     return [
         '### Losses, and an ordinary day',
--- a/benchmarks/coordination/control_cost.py
+++ b/benchmarks/coordination/control_cost.py
@@ -171,9 +171,9 @@
             for key in list(own)[:most]
         ]
         left = budget - len(loads) * digest.LOAD_BYTES
-        most = min(60, int(left // digest.HELD_BYTES))
+        most = min(60, int(left // digest.IN_FLIGHT_BYTES))
         held = [
-            messages.HeldEntry(key, 1 + at_ms % 3, 5_000)
+            messages.InFlightEntry(key, 1 + at_ms % 3, 5_000)
             for key in self.keys[:most]
         ]
         return messages.Heartbeat(1, loads=tuple(loads), held=tuple(held))
--- a/benchmarks/coordination/suspicion.py
+++ b/benchmarks/coordination/suspicion.py
@@ -15,7 +15,7 @@
 
 import typer
 
-from eelgrassknot.coordination import suspicion
+from eelgrassknot.coordination import failure_detector
 
 __all__ = ['main']
 
@@ -57,7 +57,7 @@
         self.limit_ms = limit_ms
         self.last_ms = 0.0
 
-    def heard(self, now_ms: float) -> None:
+    def record_heartbeat(self, now_ms: float) -> None:
         """Take in a heartbeat."""
         self.last_ms = now_ms
 
@@ -67,7 +67,7 @@
 
 
 DETECTORS = {
-    'adaptive': lambda: suspicion.Suspicion(INTERVAL_MS),
+    'adaptive': lambda: failure_detector.PhiAccrualDetector(INTERVAL_MS),
     'fixed 3 s': lambda: FixedLimit(3 * INTERVAL_MS),
     'fixed 6 s': lambda: FixedLimit(6 * INTERVAL_MS),
 }
@@ -96,7 +96,7 @@
             false += suspect and not suspected
             suspected = suspect
             now_ms += CHECK_MS
-        detector.heard(at_ms)
+        detector.record_heartbeat(at_ms)
     now_ms = times[-1]
     while not detector.is_suspect(now_ms):
         now_ms += CHECK_MS
--- a/eelgrassknot/coordination/adoption.py
+++ b/eelgrassknot/coordination/adoption.py
@@ -21,12 +21,12 @@
     'FetchFromPeer',
     'FetchFromStore',
     'PeerLost',
+    'PeerVersionReceived',
     'PollStore',
     'RecordReceived',
     'StampRead',
     'StoreFailed',
     'Tick',
-    'VersionHeard',
 ]
 
 POLL_MS = 3_000.0
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class VersionHeard:
+class PeerVersionReceived:
     """A peer told the version that is in force there; 0 means none."""
 
     vm: ids.VmId
@@ -80,7 +80,7 @@
 Event = (
     StampRead
     | StoreFailed
-    | VersionHeard
+    | PeerVersionReceived
     | PeerLost
     | RecordReceived
     | FetchFailed
@@ -145,17 +145,17 @@
     ) -> None:
         self.generator = generator
         self.poll_ms = poll_ms
-        self.floor = ids.ConfigVersion(0)
+        self.newest_known = ids.ConfigVersion(0)
         self.adopted: rows.ConfigRecord | None = None
         self.caught_up = False
-        self.heard: dict[ids.VmId, ids.ConfigVersion] = {}
+        self.peer_versions: dict[ids.VmId, ids.ConfigVersion] = {}
         self.store_failed = False
-        self.store_asked = False
-        self.corrupt = 0
-        self.refused = ids.ConfigVersion(0)
+        self.store_answered = False
+        self.corrupt_count = 0
+        self.unreadable_version = ids.ConfigVersion(0)
         self.next_poll_ms = float('-inf')
         self.fetch_deadline_ms: float | None = None
-        self.try_store = True
+        self.prefer_store = True
 
     @property
     def version(self) -> ids.ConfigVersion:
@@ -175,18 +175,18 @@
             case Tick():
                 return self._poll(now_ms) + self._fetch(now_ms)
             case StampRead(stamp):
-                self.store_asked = True
+                self.store_answered = True
                 self.store_failed = False
                 if stamp is not None:
-                    self._raise_floor(stamp.version)
+                    self._raise_newest_known(stamp.version)
             case StoreFailed():
                 self.store_failed = True
                 self.fetch_deadline_ms = None
-            case VersionHeard(vm, version):
-                self.heard[vm] = version
-                self._raise_floor(version)
+            case PeerVersionReceived(vm, version):
+                self.peer_versions[vm] = version
+                self._raise_newest_known(version)
             case PeerLost(vm):
-                self.heard.pop(vm, None)
+                self.peer_versions.pop(vm, None)
             case FetchFailed():
                 self.fetch_deadline_ms = None
                 return []
@@ -194,29 +194,35 @@
                 return self._receive(record)
         return self._fetch(now_ms)
 
-    def behind(self) -> dict[ids.VmId, ids.ConfigVersion]:
+    def outdated_peers(self) -> dict[ids.VmId, ids.ConfigVersion]:
         """Return the peers whose text is older than the newest known."""
         return {
             vm: version
-            for vm, version in self.heard.items()
-            if version < self.floor
+            for vm, version in self.peer_versions.items()
+            if version < self.newest_known
         }
 
     def not_ready_reason(self) -> str | None:
         """Return why this VM must not serve yet, or None."""
         if self.caught_up:
             return None
-        if self.refused:
-            return f'version {self.refused} of the services text is unreadable'
-        if self.floor:
-            return f'version {self.floor} of the services text is not here yet'
-        if self.store_failed or not self.store_asked:
+        if self.unreadable_version:
+            return (
+                f'version {self.unreadable_version} of the services text'
+                ' is unreadable'
+            )
+        if self.newest_known:
+            return (
+                f'version {self.newest_known} of the services text is'
+                ' not here yet'
+            )
+        if self.store_failed or not self.store_answered:
             return 'neither the store nor a peer has told the services text'
         return 'no services text has been accepted yet'
 
-    def _raise_floor(self, version: ids.ConfigVersion) -> None:
-        if version > self.floor:
-            self.floor = version
+    def _raise_newest_known(self, version: ids.ConfigVersion) -> None:
+        if version > self.newest_known:
+            self.newest_known = version
             self.fetch_deadline_ms = None
 
     def _poll(self, now_ms: float) -> list[Action]:
@@ -228,37 +234,42 @@
         return [PollStore()]
 
     def _fetch(self, now_ms: float) -> list[Action]:
-        if self.floor <= max(self.version, self.refused):
+        if self.newest_known <= max(self.version, self.unreadable_version):
             return []
         deadline_ms = self.fetch_deadline_ms
         if deadline_ms is not None and now_ms < deadline_ms:
             return []
         self.fetch_deadline_ms = now_ms + FETCH_TIMEOUT_MS
-        return [self._source()]
+        return [self._choose_source()]
 
-    def _source(self) -> Action:
+    def _choose_source(self) -> Action:
         holders = sorted(
-            vm for vm, version in self.heard.items() if version >= self.floor
+            vm
+            for vm, version in self.peer_versions.items()
+            if version >= self.newest_known
         )
         # Peers cost the store nothing. The sources take turns, so that
         # one that fails silently does not hold the text up.
-        self.try_store = not holders or not self.try_store
-        if self.try_store and not (holders and self.store_failed):
+        self.prefer_store = not holders or not self.prefer_store
+        if self.prefer_store and not (holders and self.store_failed):
             return FetchFromStore()
         return FetchFromPeer(self.generator.choice(holders))
 
     def _receive(self, record: rows.ConfigRecord) -> list[Action]:
         self.fetch_deadline_ms = None
-        if config.digest_of(record.document) != record.digest:
-            self.corrupt += 1
+        if config.document_digest(record.document) != record.digest:
+            self.corrupt_count += 1
             return []
-        self._raise_floor(record.version)
-        if record.version < self.floor or record.version <= self.version:
+        self._raise_newest_known(record.version)
+        if (
+            record.version < self.newest_known
+            or record.version <= self.version
+        ):
             return []
         try:
             text = services_text.decode(record.document)
         except exceptions.SettingsError:
-            self.refused = record.version
+            self.unreadable_version = record.version
             return []
         self.adopted = record
         self.caught_up = True
--- a/eelgrassknot/coordination/config.py
+++ b/eelgrassknot/coordination/config.py
@@ -24,16 +24,16 @@
     'Acceptance',
     'Accepted',
     'CurrentRead',
+    'document_digest',
     'Finish',
     'HistoryRead',
     'ReadCurrent',
     'ReadFailed',
     'ReadHistory',
     'WriteCommitted',
+    'WriteConfig',
     'WriteConflicted',
     'WriteFailed',
-    'WriteText',
-    'digest_of',
 ]
 
 HISTORY_LENGTH = 50
@@ -41,7 +41,7 @@
 FIRST_VERSION = ids.ConfigVersion(1)
 
 
-def digest_of(document: str) -> str:
+def document_digest(document: str) -> str:
     """Return the digest by which a document is checked on receipt."""
     return hashlib.sha256(document.encode()).hexdigest()
 
@@ -110,7 +110,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class WriteText:
+class WriteConfig:
     """Make the transaction that accepts the text."""
 
     conditions: tuple[base.Condition, ...]
@@ -136,7 +136,7 @@
     | WriteConflicted
     | WriteFailed
 )
-Action = ReadCurrent | ReadHistory | WriteText | Finish
+Action = ReadCurrent | ReadHistory | WriteConfig | Finish
 
 
 class Acceptance:
@@ -172,9 +172,9 @@
         self.change = change
         self.at_ms = at_ms
         self.base_version = base_version
-        self.digest = digest_of(document)
+        self.digest = document_digest(document)
         self.version = FIRST_VERSION
-        self.write: WriteText | None = None
+        self.write: WriteConfig | None = None
         self.attempts = 0
         self.last_error: exceptions.EelgrassknotError | None = None
 
@@ -190,7 +190,7 @@
         """
         match event:
             case CurrentRead(record, row_version):
-                return self._decide(record, row_version)
+                return self._plan_write(record, row_version)
             case WriteCommitted():
                 return self._accepted(self.version)
             case WriteConflicted():
@@ -199,11 +199,11 @@
                 self.last_error = error
                 return self._read_back()
             case HistoryRead(record):
-                return self._judge(record)
+                return self._resolve_outcome(record)
             case ReadFailed(error):
                 return self._read_failed(error)
 
-    def _decide(
+    def _plan_write(
         self, record: rows.ConfigRecord | None, row_version: int | None
     ) -> Action:
         current = record.version if record else ids.ConfigVersion(0)
@@ -213,11 +213,11 @@
             return Finish(_conflict(record))
         self.version = ids.ConfigVersion(current + 1)
         self.write = self._transaction(record, row_version)
-        return self._attempt()
+        return self._next_attempt()
 
     def _transaction(
         self, current: rows.ConfigRecord | None, row_version: int | None
-    ) -> WriteText:
+    ) -> WriteConfig:
         record = rows.ConfigRecord(
             self.version,
             self.document,
@@ -244,7 +244,7 @@
         condition = base.Condition(
             rows.CONFIG_TABLE, rows.CONFIG_CURRENT, row_version
         )
-        return WriteText((condition,), tuple(writes))
+        return WriteConfig((condition,), tuple(writes))
 
     def _audit(self, current: rows.ConfigRecord | None) -> rows.AuditRecord:
         before = msgspec.json.decode(current.document) if current else None
@@ -260,9 +260,9 @@
             tuple(changes),
         )
 
-    def _attempt(self) -> Action:
+    def _next_attempt(self) -> Action:
         if self.attempts >= MAX_ATTEMPTS:
-            return Finish(self._unknown())
+            return Finish(self._unknown_outcome())
         self.attempts += 1
         assert self.write is not None
         return self.write
@@ -270,9 +270,9 @@
     def _read_back(self) -> Action:
         return ReadHistory(self.version)
 
-    def _judge(self, record: rows.ConfigRecord | None) -> Action:
+    def _resolve_outcome(self, record: rows.ConfigRecord | None) -> Action:
         if record is None:
-            return self._attempt()
+            return self._next_attempt()
         if record.change == self.change:
             return self._accepted(record.version)
         return Finish(_conflict(record))
@@ -283,13 +283,13 @@
             return Finish(error)
         self.attempts += 1
         if self.attempts >= MAX_ATTEMPTS:
-            return Finish(self._unknown())
+            return Finish(self._unknown_outcome())
         return self._read_back()
 
     def _accepted(self, version: ids.ConfigVersion) -> Finish:
         return Finish(Accepted(version, self.digest))
 
-    def _unknown(self) -> exceptions.UnknownOutcomeError:
+    def _unknown_outcome(self) -> exceptions.UnknownOutcomeError:
         return exceptions.UnknownOutcomeError(
             f'the text may or may not be accepted as version'
             f' {self.version}: {self.last_error}',
--- a/eelgrassknot/coordination/config_store.py
+++ b/eelgrassknot/coordination/config_store.py
@@ -103,7 +103,7 @@
             return _read_current(table)
         case config.ReadHistory(version):
             return _read_version(table, version)
-        case config.WriteText(conditions, writes):
+        case config.WriteConfig(conditions, writes):
             return _write(table, change, conditions, writes)
     raise TypeError(f'no such action: {action}')
 
--- a/eelgrassknot/coordination/digest.py
+++ b/eelgrassknot/coordination/digest.py
@@ -18,15 +18,15 @@
 __all__ = ['Digest', 'Payload', 'upstream_key']
 
 LOAD_BYTES = 28
-HELD_BYTES = 11
+IN_FLIGHT_BYTES = 11
 DEMAND_BYTES = 9
 ZONE_BYTES = 56
 LOAD_REFRESH_MS = 1_000.0
-HELD_REFRESH_MS = 2_000.0
+IN_FLIGHT_REFRESH_MS = 2_000.0
 DEMAND_REFRESH_MS = 2_000.0
 ZONE_REFRESH_MS = 4_000.0
 LOAD_SHARE = 0.6
-HELD_SHARE = 0.6
+IN_FLIGHT_SHARE = 0.6
 ZONE_SHARE = 0.4
 # Older than this, a load no longer counts in the sums of its zone.
 SUM_MAX_AGE_MS = 10_000.0
@@ -38,7 +38,7 @@
     """What goes out with the next heartbeat."""
 
     loads: tuple[messages.LoadEntry, ...]
-    held: tuple[messages.HeldEntry, ...]
+    held: tuple[messages.InFlightEntry, ...]
     demands: tuple[messages.DemandEntry, ...]
     zones: tuple[messages.ZoneLoad, ...]
     cache: tuple[messages.CacheEntry, ...]
@@ -64,10 +64,12 @@
     def __init__(self, availability_zone: ids.AvailabilityZoneId) -> None:
         self.availability_zone = availability_zone
         self.upstreams: dict[int, events.UpstreamInfo] = {}
-        self.keys: dict[ids.UpstreamId, int] = {}
+        self.key_by_upstream: dict[ids.UpstreamId, int] = {}
         self.loads: dict[int, tuple[messages.LoadEntry, float]] = {}
         self.own_loads = delta_queue.DeltaQueue(LOAD_BYTES, LOAD_REFRESH_MS)
-        self.held = delta_queue.DeltaQueue(HELD_BYTES, HELD_REFRESH_MS)
+        self.in_flight = delta_queue.DeltaQueue(
+            IN_FLIGHT_BYTES, IN_FLIGHT_REFRESH_MS
+        )
         self.demands = delta_queue.DeltaQueue(DEMAND_BYTES, DEMAND_REFRESH_MS)
         self.zones = delta_queue.DeltaQueue(ZONE_BYTES, ZONE_REFRESH_MS)
         # Cache events are hints; the oldest give way.
@@ -75,7 +77,7 @@
             maxlen=MAX_CACHE_ENTRIES
         )
 
-    def know(
+    def set_upstreams(
         self, upstreams: collections.abc.Sequence[events.UpstreamInfo]
     ) -> None:
         """Take in the whole set of upstreams."""
@@ -86,24 +88,28 @@
             for key, info in zip(hashes, upstreams, strict=True)
             if counts[key] == 1
         }
-        self.keys = {
+        self.key_by_upstream = {
             info.upstream: key for key, info in self.upstreams.items()
         }
         for key in list(self.loads):
             if key not in self.upstreams:
                 del self.loads[key]
-        for queue in (self.own_loads, self.held):
+        for queue in (self.own_loads, self.in_flight):
             for key in list(queue.entries):
                 if key not in self.upstreams:
                     queue.remove(key)
 
-    def observed(self, entry: messages.LoadEntry, now_ms: float) -> None:
+    def record_own_load(
+        self, entry: messages.LoadEntry, now_ms: float
+    ) -> None:
         """Take in a load that this VM observed itself."""
         if entry.upstream in self.upstreams:
             self.own_loads.offer(entry.upstream, entry)
             self.loads[entry.upstream] = (entry, now_ms)
 
-    def told(self, entry: messages.LoadEntry, now_ms: float) -> bool:
+    def record_peer_load(
+        self, entry: messages.LoadEntry, now_ms: float
+    ) -> bool:
         """Take in a load that a peer observed.
 
         Returns:
@@ -122,7 +128,7 @@
         self.own_loads.remove(entry.upstream)
         return True
 
-    def announce(
+    def update_dispatch_state(
         self,
         held: collections.abc.Mapping[ids.UpstreamId, tuple[int, int]],
         demands: collections.abc.Mapping[ids.ClientAccountId, float],
@@ -135,11 +141,11 @@
                 are left out are told as zero once.
         """
         for upstream, (running, expected_tokens) in held.items():
-            key = self.keys.get(upstream)
-            if key is None or not (running or key in self.held.entries):
+            key = self.key_by_upstream.get(upstream)
+            if key is None or not (running or key in self.in_flight.entries):
                 continue
-            entry = messages.HeldEntry(key, running, expected_tokens)
-            self.held.offer(key, entry)
+            entry = messages.InFlightEntry(key, running, expected_tokens)
+            self.in_flight.offer(key, entry)
         present = set()
         for account, rate in demands.items():
             key = rendezvous.name_hash(account)
@@ -153,7 +159,7 @@
             else:
                 self.demands.remove(key)
 
-    def forward(self, loads: collections.abc.Iterable) -> None:
+    def forward_zone_loads(self, loads: collections.abc.Iterable) -> None:
         """Pass sums of other zones on to the peers of this one."""
         for load in loads:
             key = (load.availability_zone, load.service)
@@ -203,8 +209,8 @@
         left = budget_bytes
         loads = self.own_loads.take(left * LOAD_SHARE, now_ms)
         left -= len(loads) * LOAD_BYTES
-        held = self.held.take(left * HELD_SHARE, now_ms)
-        left -= len(held) * HELD_BYTES
+        held = self.in_flight.take(left * IN_FLIGHT_SHARE, now_ms)
+        left -= len(held) * IN_FLIGHT_BYTES
         zones = self.zones.take(left * ZONE_SHARE, now_ms)
         left -= len(zones) * ZONE_BYTES
         demands = self.demands.take(left, now_ms)
@@ -217,7 +223,7 @@
             self._take_cache(left),
         )
 
-    def cache_seen(self, entry: messages.CacheEntry) -> None:
+    def add_cache_entry(self, entry: messages.CacheEntry) -> None:
         """Take in cache events that this VM read as an observer."""
         self.cache.append(entry)
 
--- a/eelgrassknot/coordination/digest_part.py
+++ b/eelgrassknot/coordination/digest_part.py
@@ -32,20 +32,24 @@
         self.reachability = reachability.Reachability()
         self.accounts: dict[int, ids.ClientAccountId] = {}
         self.members: tuple[ids.VmId, ...] = ()
-        self.held: dict[ids.VmId, set[int]] = {}
+        self.in_flight_keys: dict[ids.VmId, set[int]] = {}
         self.lock = threading.Lock()
-        node.hub.subscribe(events.UpstreamsChanged, self._upstreams)
-        node.hub.subscribe(events.ConfigAdopted, self._adopted)
-        node.hub.subscribe(membership_part.EntryVmsChanged, self._members)
+        node.hub.subscribe(events.UpstreamsChanged, self._on_upstreams_changed)
+        node.hub.subscribe(events.ConfigAdopted, self._on_config_adopted)
+        node.hub.subscribe(
+            membership_part.EntryVmsChanged, self._on_entry_vms_changed
+        )
 
     def bind(self) -> None:
         """Learn of the parts that this one works with."""
         members = self.node.part_set.parts
         self.dispatch = members['dispatch']
         self.upstreams = members['upstreams']
-        members['peers'].link.on_message(messages.Heartbeat, self._heard)
-        members['membership'].payload = self.payload
-        members['membership'].far_loads = self.far_loads
+        members['peers'].link.on_message(
+            messages.Heartbeat, self._on_heartbeat
+        )
+        members['membership'].payload_source = self.next_payload
+        members['membership'].zone_load_source = self.zone_loads
 
     def status(self) -> dict[str, object]:
         """Return how old the loads are that this VM decides by."""
@@ -59,14 +63,14 @@
             }
         }
 
-    def payload(self, budget_bytes: float) -> digests.Payload:
+    def next_payload(self, budget_bytes: float) -> digests.Payload:
         """Return what goes out with the next heartbeat."""
         now_ms = self.node.clock.now_ms()
-        self._announce(now_ms)
+        self._update_dispatch_state(now_ms)
         with self.lock:
             return self.digest.take(budget_bytes, now_ms)
 
-    def _announce(self, now_ms: float) -> None:
+    def _update_dispatch_state(self, now_ms: float) -> None:
         with self.dispatch.lock:
             announcement = self.dispatch.dispatcher.announcement(now_ms)
         held = {
@@ -78,30 +82,30 @@
             for demand in announcement.demands
         }
         with self.lock:
-            self.digest.announce(held, demands)
+            self.digest.update_dispatch_state(held, demands)
 
-    def far_loads(self) -> tuple[messages.ZoneLoad, ...]:
+    def zone_loads(self) -> tuple[messages.ZoneLoad, ...]:
         """Return the sums of this zone for other zones."""
         with self.lock:
             return self.digest.zone_loads(self.node.clock.now_ms())
 
-    def observed(
+    def record_own_load(
         self, info: events.UpstreamInfo, entry: messages.LoadEntry
     ) -> None:
         """Take in a load that this VM observed itself."""
         with self.lock:
-            self.digest.observed(entry, self.node.clock.now_ms())
-        self._pass_on(self.node.settings.vm, info, entry)
+            self.digest.record_own_load(entry, self.node.clock.now_ms())
+        self._report_load(self.node.settings.vm, info, entry)
 
-    def cache_seen(
+    def record_own_cache(
         self, info: events.UpstreamInfo, entry: messages.CacheEntry
     ) -> None:
         """Take in cache events that this VM read itself."""
         with self.lock:
-            self.digest.cache_seen(entry)
-        self._pass_on_cache(info, entry)
+            self.digest.add_cache_entry(entry)
+        self._report_cache(info, entry)
 
-    def _pass_on(
+    def _report_load(
         self,
         vm: ids.VmId,
         info: events.UpstreamInfo,
@@ -109,15 +113,17 @@
     ) -> None:
         now_ms = self.node.clock.now_ms()
         with self.lock:
-            reachable = self.reachability.heard(
+            reachable = self.reachability.record_report(
                 info.upstream, vm, entry.reachable, now_ms
             )
-        self.upstreams.tell(
-            upstream_membership.Reachable(info.upstream, reachable)
+        self.upstreams.handle(
+            upstream_membership.ReachabilityChanged(info.upstream, reachable)
         )
         if entry.leaving:
-            self.upstreams.tell(
-                upstream_membership.LeavingHeard(info.upstream, info.address)
+            self.upstreams.handle(
+                upstream_membership.LeavingReported(
+                    info.upstream, info.address
+                )
             )
         if not entry.reachable:
             return
@@ -139,7 +145,7 @@
             )
         )
 
-    def _pass_on_cache(
+    def _report_cache(
         self, info: events.UpstreamInfo, entry: messages.CacheEntry
     ) -> None:
         self.dispatch.tell(
@@ -150,54 +156,56 @@
             )
         )
 
-    def _heard(self, envelope: messages.Envelope) -> None:
+    def _on_heartbeat(self, envelope: messages.Envelope) -> None:
         heartbeat = envelope.message
         for load in heartbeat.loads:
-            self._heard_load(envelope.vm, load)
+            self._receive_load(envelope.vm, load)
         for held in heartbeat.held:
-            self._heard_held(envelope.vm, held)
+            self._receive_in_flight(envelope.vm, held)
         for demand in heartbeat.demands:
-            self._heard_demand(envelope.vm, demand)
+            self._receive_demand(envelope.vm, demand)
         for cache in heartbeat.cache:
-            info = self._info(cache.upstream)
+            info = self._find_upstream(cache.upstream)
             if info is not None:
-                self._pass_on_cache(info, cache)
+                self._report_cache(info, cache)
         if heartbeat.zones:
-            self._heard_zones(envelope.vm, heartbeat.zones)
+            self._receive_zone_loads(envelope.vm, heartbeat.zones)
 
-    def _info(self, key: int) -> events.UpstreamInfo | None:
+    def _find_upstream(self, key: int) -> events.UpstreamInfo | None:
         with self.lock:
             return self.digest.upstreams.get(key)
 
-    def _heard_load(self, vm: ids.VmId, load: messages.LoadEntry) -> None:
+    def _receive_load(self, vm: ids.VmId, load: messages.LoadEntry) -> None:
         now_ms = self.node.clock.now_ms()
-        info = self._info(load.upstream)
+        info = self._find_upstream(load.upstream)
         if info is None:
             return
         if load.reachable:
             with self.lock:
-                if not self.digest.told(load, now_ms):
+                if not self.digest.record_peer_load(load, now_ms):
                     return
-            self.observers.heard(info.upstream)
-        self._pass_on(vm, info, load)
+            self.observer.record_peer_report(info.upstream)
+        self._report_load(vm, info, load)
 
     @property
-    def observers(self) -> typing.Any:
+    def observer(self) -> typing.Any:
         """Part that polls; it starts after this one."""
         return self.node.part_set.parts['observer']
 
-    def _heard_held(self, vm: ids.VmId, held: messages.HeldEntry) -> None:
-        info = self._info(held.upstream)
+    def _receive_in_flight(
+        self, vm: ids.VmId, held: messages.InFlightEntry
+    ) -> None:
+        info = self._find_upstream(held.upstream)
         if info is None:
             return
-        self.held.setdefault(vm, set()).add(held.upstream)
+        self.in_flight_keys.setdefault(vm, set()).add(held.upstream)
         self.dispatch.tell(
             policy_messages.DigestReceived(
                 vm, info.upstream, held.running, held.expected_tokens
             )
         )
 
-    def _heard_demand(
+    def _receive_demand(
         self, vm: ids.VmId, demand: messages.DemandEntry
     ) -> None:
         account = self.accounts.get(demand.client_account)
@@ -207,7 +215,7 @@
                 policy_messages.AccountDemandHeard(vm, account, rate)
             )
 
-    def _heard_zones(
+    def _receive_zone_loads(
         self, vm: ids.VmId, loads: tuple[messages.ZoneLoad, ...]
     ) -> None:
         foreign = [
@@ -216,11 +224,11 @@
         if vm not in self.members:
             # From another zone's gateway: this VM tells its own zone.
             with self.lock:
-                self.digest.forward(foreign)
+                self.digest.forward_zone_loads(foreign)
         for load in foreign:
-            self._tell_zone(load)
+            self._report_zone_load(load)
 
-    def _tell_zone(self, load: messages.ZoneLoad) -> None:
+    def _report_zone_load(self, load: messages.ZoneLoad) -> None:
         with self.lock:
             known = [
                 info
@@ -230,10 +238,10 @@
             ]
         now_ms = self.node.clock.now_ms()
         for key in load.leaving:
-            info = self._info(key)
+            info = self._find_upstream(key)
             if info is not None:
-                self.upstreams.tell(
-                    upstream_membership.LeavingHeard(
+                self.upstreams.handle(
+                    upstream_membership.LeavingReported(
                         info.upstream, info.address
                     )
                 )
@@ -241,11 +249,11 @@
             share = _average(info, load, now_ms)
             self.dispatch.tell(policy_messages.LoadReported(share))
 
-    def _upstreams(self, event: events.UpstreamsChanged) -> None:
+    def _on_upstreams_changed(self, event: events.UpstreamsChanged) -> None:
         with self.lock:
-            self.digest.know(event.upstreams)
+            self.digest.set_upstreams(event.upstreams)
 
-    def _adopted(self, event: events.ConfigAdopted) -> None:
+    def _on_config_adopted(self, event: events.ConfigAdopted) -> None:
         self.accounts = {
             rendezvous.name_hash(account.client_account): (
                 account.client_account
@@ -253,12 +261,14 @@
             for account in event.text.client_accounts
         }
 
-    def _members(self, event: membership_part.EntryVmsChanged) -> None:
+    def _on_entry_vms_changed(
+        self, event: membership_part.EntryVmsChanged
+    ) -> None:
         gone = set(self.members) - set(event.members)
         self.members = event.members
         for vm in gone:
-            for key in self.held.pop(vm, ()):
-                info = self._info(key)
+            for key in self.in_flight_keys.pop(vm, ()):
+                info = self._find_upstream(key)
                 if info is not None:
                     self.dispatch.tell(
                         policy_messages.DigestReceived(vm, info.upstream, 0, 0)
--- a/eelgrassknot/coordination/lease.py
+++ b/eelgrassknot/coordination/lease.py
@@ -14,19 +14,19 @@
 from eelgrassknot.coordination import rows
 from eelgrassknot import ids
 
-__all__ = ['DURATION_MS', 'MARGIN_MS', 'Lease', 'LeaseState']
+__all__ = ['DURATION_MS', 'EXPIRY_MARGIN_MS', 'Lease', 'LeaseState']
 
 DURATION_MS = 8_000.0
 # The holder stops this long before a watcher could take over, to cover
 # clocks that run at different rates and the last order on its way.
-MARGIN_MS = 1_500.0
+EXPIRY_MARGIN_MS = 1_500.0
 RENEW_MS = 2_000.0
 POLL_MS = 2_000.0
 RETRY_MS = 500.0
 # Watchers that come late in the order poll more seldom.
-RANKS_PER_POLL_MS = 8
+RANKS_PER_POLL_STEP = 8
 MAX_POLL_MS = 10_000.0
-MAX_REMEMBERED_SENDS = 16
+MAX_TRACKED_WRITES = 16
 
 
 class LeaseState(enum.Enum):
@@ -55,7 +55,7 @@
         >>> write = lease.handle(messages.RowRead(None, None), 1.0)[0]
         >>> lease.handle(messages.WriteCommitted(1), 2.0)
         [Gained(epoch=1)]
-        >>> lease.may_act(1.0 + DURATION_MS - MARGIN_MS)
+        >>> lease.is_valid(1.0 + DURATION_MS - EXPIRY_MARGIN_MS)
         False
     """
 
@@ -65,16 +65,16 @@
         self.state = LeaseState.WATCHING
         self.record: rows.LeaseRecord | None = None
         self.row_version: int | None = None
-        self.seen_ms: float | None = None
+        self.row_changed_ms: float | None = None
         self.rank = 0
         self.next_read_ms = float('-inf')
-        self.busy = False
-        self.written: rows.LeaseRecord | None = None
-        self.sent_ms: dict[tuple[int, int], float] = {}
+        self.awaiting_reply = False
+        self.pending_write: rows.LeaseRecord | None = None
+        self.write_sent_ms: dict[tuple[int, int], float] = {}
         self.epoch: ids.FencingNumber | None = None
         self.valid_until_ms = float('-inf')
 
-    def may_act(self, now_ms: float) -> bool:
+    def is_valid(self, now_ms: float) -> bool:
         """Return whether an order may be given at this very time."""
         return self.epoch is not None and now_ms < self.valid_until_ms
 
@@ -88,17 +88,17 @@
             now_ms: The present time of this VM's clock, taken before
                 any returned write is sent.
         """
-        actions = self._lapse(now_ms)
+        actions = self._expire(now_ms)
         if not isinstance(event, messages.Tick | messages.Release):
-            self.busy = False
+            self.awaiting_reply = False
         match event:
             case messages.Tick(rank):
                 self.rank = rank
                 return actions + self._tick(now_ms)
             case messages.RowRead(record, row_version):
-                return actions + self._read(record, row_version, now_ms)
+                return actions + self._on_row_read(record, row_version, now_ms)
             case messages.WriteCommitted(row_version):
-                return actions + self._committed(row_version, now_ms)
+                return actions + self._on_committed(row_version, now_ms)
             case messages.WriteConflicted() | messages.WriteFailed():
                 # Read back at once: the write may have taken effect.
                 self.next_read_ms = now_ms
@@ -108,7 +108,7 @@
                 return actions + self._release(now_ms)
         return actions
 
-    def _lapse(self, now_ms: float) -> list[messages.Action]:
+    def _expire(self, now_ms: float) -> list[messages.Action]:
         if self.epoch is None or now_ms < self.valid_until_ms:
             return []
         return self._lose()
@@ -124,44 +124,46 @@
         return [lost]
 
     def _tick(self, now_ms: float) -> list[messages.Action]:
-        if self.busy or self.state is LeaseState.STOPPED:
+        if self.awaiting_reply or self.state is LeaseState.STOPPED:
             return []
         if now_ms < min(self.next_read_ms, self._takeover_ms()):
             return []
-        if self.state is LeaseState.HOLDING and self.written is None:
+        if self.state is LeaseState.HOLDING and self.pending_write is None:
             return self._renew(now_ms)
-        self.busy = True
+        self.awaiting_reply = True
         self.next_read_ms = now_ms + self._poll_ms()
         return [messages.ReadRow()]
 
     def _poll_ms(self) -> float:
-        factor = 1 + self.rank // RANKS_PER_POLL_MS
+        factor = 1 + self.rank // RANKS_PER_POLL_STEP
         return min(MAX_POLL_MS, POLL_MS * factor)
 
     def _takeover_ms(self) -> float:
-        if self.seen_ms is None or self.state is LeaseState.HOLDING:
+        if self.row_changed_ms is None or self.state is LeaseState.HOLDING:
             return float('inf')
         released = self.record is None or self.record.holder is None
         duration_ms = 0.0 if released else DURATION_MS
-        return self.seen_ms + duration_ms
+        return self.row_changed_ms + duration_ms
 
-    def _read(
+    def _on_row_read(
         self,
         record: rows.LeaseRecord | None,
         row_version: int | None,
         now_ms: float,
     ) -> list[messages.Action]:
-        self.written = None
-        changed = row_version != self.row_version or self.seen_ms is None
+        self.pending_write = None
+        changed = (
+            row_version != self.row_version or self.row_changed_ms is None
+        )
         self.record = record
         self.row_version = row_version
         if self._is_own(record):
             if changed:
-                self.seen_ms = now_ms
-            return self._adopt_own(record, now_ms)
+                self.row_changed_ms = now_ms
+            return self._resume_own(record, now_ms)
         actions = self._lose()
         if changed:
-            self.seen_ms = now_ms
+            self.row_changed_ms = now_ms
         if self.state is LeaseState.STOPPED or now_ms < self._takeover_ms():
             return actions
         return actions + self._take_over(now_ms)
@@ -171,16 +173,16 @@
             return False
         return record.incarnation == self.incarnation
 
-    def _adopt_own(
+    def _resume_own(
         self, record: rows.LeaseRecord, now_ms: float
     ) -> list[messages.Action]:
         # Found by a read, not by the answer to the write: the lease
         # still counts from when that write was sent.
-        sent_ms = self.sent_ms.get((record.epoch, record.renewals))
+        sent_ms = self.write_sent_ms.get((record.epoch, record.renewals))
         if sent_ms is None or self.state is LeaseState.STOPPED:
             return []
         actions = self._hold(record, sent_ms, now_ms)
-        if not actions and not self.may_act(now_ms):
+        if not actions and not self.is_valid(now_ms):
             # Lapsed before it was found; take over like anyone else.
             if now_ms >= self._takeover_ms():
                 return self._take_over(now_ms)
@@ -206,31 +208,31 @@
     def _write(
         self, record: rows.LeaseRecord, takes_over: bool, now_ms: float
     ) -> messages.WriteRow:
-        self.busy = True
-        self.written = record
-        self.sent_ms[(record.epoch, record.renewals)] = now_ms
-        if len(self.sent_ms) > MAX_REMEMBERED_SENDS:
-            del self.sent_ms[next(iter(self.sent_ms))]
+        self.awaiting_reply = True
+        self.pending_write = record
+        self.write_sent_ms[(record.epoch, record.renewals)] = now_ms
+        if len(self.write_sent_ms) > MAX_TRACKED_WRITES:
+            del self.write_sent_ms[next(iter(self.write_sent_ms))]
         return messages.WriteRow(record, self.row_version, takes_over)
 
-    def _committed(
+    def _on_committed(
         self, row_version: int, now_ms: float
     ) -> list[messages.Action]:
-        record = self.written
+        record = self.pending_write
         assert record is not None
-        self.written = None
+        self.pending_write = None
         self.record = record
         self.row_version = row_version
-        self.seen_ms = now_ms
+        self.row_changed_ms = now_ms
         if record.holder is None or self.state is LeaseState.STOPPED:
             return []
-        sent_ms = self.sent_ms[(record.epoch, record.renewals)]
+        sent_ms = self.write_sent_ms[(record.epoch, record.renewals)]
         return self._hold(record, sent_ms, now_ms)
 
     def _hold(
         self, record: rows.LeaseRecord, sent_ms: float, now_ms: float
     ) -> list[messages.Action]:
-        valid_until_ms = sent_ms + DURATION_MS - MARGIN_MS
+        valid_until_ms = sent_ms + DURATION_MS - EXPIRY_MARGIN_MS
         if now_ms >= valid_until_ms:
             return []
         self.valid_until_ms = max(self.valid_until_ms, valid_until_ms)
@@ -247,7 +249,7 @@
         held = self.state is LeaseState.HOLDING
         actions = self._lose()
         self.state = LeaseState.STOPPED
-        if not held or self.busy or self.record is None:
+        if not held or self.awaiting_reply or self.record is None:
             return actions
         record = _released(self.record)
         return [*actions, self._write(record, False, now_ms)]
--- a/eelgrassknot/coordination/lease_part.py
+++ b/eelgrassknot/coordination/lease_part.py
@@ -72,19 +72,19 @@
 
     def drain(self) -> None:
         """Give the lease up, so that nobody waits for it to lapse."""
-        self._tell(messages.Release())
+        self._handle(messages.Release())
 
     def stop(self) -> None:
         """Watch no more."""
         self.ticker.stop()
         self.executor.shutdown(wait=True)
 
-    def may_act(self, fencing: ids.FencingNumber) -> bool:
+    def is_valid(self, fencing: ids.FencingNumber) -> bool:
         """Return whether an order may be given at this very time."""
         lease = self.lease
         if lease.epoch != fencing:
             return False
-        return lease.may_act(self.node.clock.now_ms())
+        return lease.is_valid(self.node.clock.now_ms())
 
     def status(self) -> dict[str, object]:
         """Return the lease as this VM knows it."""
@@ -102,9 +102,9 @@
         members = self.membership.live_region_members()
         ranked = rendezvous.ranked(self.region, members)
         rank = ranked.index(self.node.settings.vm)
-        self._tell(messages.Tick(rank))
+        self._handle(messages.Tick(rank))
 
-    def _tell(self, event: messages.Event) -> None:
+    def _handle(self, event: messages.Event) -> None:
         with self.lock:
             actions = self.lease.handle(event, self.node.clock.now_ms())
         for action in actions:
@@ -114,18 +114,18 @@
                 case messages.WriteRow():
                     ticker.submit(self.executor, self._write, action)
                 case messages.Gained(epoch):
-                    ticker.submit(self.executor, self._gain, epoch)
+                    ticker.submit(self.executor, self._on_gained, epoch)
                 case messages.Lost(epoch):
-                    self._end(epoch)
+                    self._publish_ended(epoch)
 
     def _read(self) -> None:
         match _read_row(
             self.table, rows.LEASE_TABLE, self.region, rows.LeaseRecord
         ):
             case result.Ok((record, version)):
-                self._tell(messages.RowRead(record, version))
+                self._handle(messages.RowRead(record, version))
             case _:
-                self._tell(messages.ReadFailed())
+                self._handle(messages.ReadFailed())
 
     def _write(self, action: messages.WriteRow) -> None:
         condition = base.Condition(
@@ -139,11 +139,11 @@
         match self.table.transact(change, [condition], writes):
             case result.Ok(base.Versions(versions)):
                 version = versions[f'{rows.LEASE_TABLE}/{self.region}']
-                self._tell(messages.WriteCommitted(version))
+                self._handle(messages.WriteCommitted(version))
             case result.Err(exceptions.RowConflictError()):
-                self._tell(messages.WriteConflicted())
+                self._handle(messages.WriteConflicted())
             case _:
-                self._tell(messages.WriteFailed())
+                self._handle(messages.WriteFailed())
 
     def _takeover_writes(
         self, record: rows.LeaseRecord
@@ -163,31 +163,31 @@
             base.Write(rows.AUDIT_TABLE, key, rows.encode(audit)),
         ]
 
-    def _gain(self, epoch: ids.FencingNumber) -> None:
+    def _on_gained(self, epoch: ids.FencingNumber) -> None:
         # The version is taken only from a row that still names this
         # epoch: a later one would let this VM write for its successor.
         match _read_row(
             self.table, rows.LEASE_EPOCH_TABLE, self.region, rows.LeaseEpoch
         ):
             case result.Ok((rows.LeaseEpoch(epoch=found), version)):
-                if found == epoch and self.may_act(epoch):
-                    self._begin(epoch, version)
-            case result.Err(_) if self.may_act(epoch):
+                if found == epoch and self.is_valid(epoch):
+                    self._publish_held(epoch, version)
+            case result.Err(_) if self.is_valid(epoch):
                 time.sleep(RETRY_S)
-                ticker.submit(self.executor, self._gain, epoch)
+                ticker.submit(self.executor, self._on_gained, epoch)
 
-    def _begin(self, epoch: ids.FencingNumber, version: int) -> None:
+    def _publish_held(self, epoch: ids.FencingNumber, version: int) -> None:
         condition = base.Condition(
             rows.LEASE_EPOCH_TABLE, self.region, version
         )
         self.held = LeaseHeld(epoch, condition)
         logs.event('lease_gained', region=self.region, epoch=epoch)
         self.node.hub.publish(self.held)
-        if not self.may_act(epoch):
+        if not self.is_valid(epoch):
             # It lapsed while it was being announced.
-            self._end(epoch)
+            self._publish_ended(epoch)
 
-    def _end(self, epoch: ids.FencingNumber) -> None:
+    def _publish_ended(self, epoch: ids.FencingNumber) -> None:
         if self.held is None:
             return
         self.held = None
--- a/eelgrassknot/coordination/links.py
+++ b/eelgrassknot/coordination/links.py
@@ -13,7 +13,7 @@
 from eelgrassknot.coordination import rendezvous
 from eelgrassknot import ids
 
-__all__ = ['Links', 'Place', 'choose_links', 'plan_links']
+__all__ = ['choose_links', 'LinkCandidate', 'Links', 'plan_links']
 
 GATEWAYS = 2
 _GATEWAY_KEY = 'gateway'
@@ -28,17 +28,17 @@
         far: Gateways of other zones, if this VM is one of its own.
     """
 
-    zone: dict[ids.VmId, str]
-    far: dict[ids.VmId, str]
+    zone_peers: dict[ids.VmId, str]
+    remote_gateways: dict[ids.VmId, str]
 
     @property
     def addresses(self) -> dict[ids.VmId, str]:
         """All peers to be connected, by address."""
-        return {**self.zone, **self.far}
+        return {**self.zone_peers, **self.remote_gateways}
 
 
 @dataclasses.dataclass(frozen=True)
-class Place:
+class LinkCandidate:
     """Where a VM is and where it listens to peers.
 
     Attributes:
@@ -53,7 +53,7 @@
 def choose_links(
     vm: ids.VmId,
     availability_zone: ids.AvailabilityZoneId,
-    places: collections.abc.Mapping[ids.VmId, Place],
+    places: collections.abc.Mapping[ids.VmId, LinkCandidate],
 ) -> Links:
     """Return the links that a VM should have.
 
@@ -63,8 +63,8 @@
         places: All others that are known.
 
     Example:
-        >>> places = {'b': Place('y', '10.0.0.2:1', True)}
-        >>> choose_links('a', 'z', places).far
+        >>> candidates = {'b': LinkCandidate('y', '10.0.0.2:1', True)}
+        >>> choose_links('a', 'z', candidates).remote_gateways
         {'b': '10.0.0.2:1'}
     """
     zone: dict[ids.VmId, str] = {}
@@ -96,12 +96,12 @@
     members = set(membership.zone_members())
     places = {}
     for peer in membership.peers.values():
-        if peer.place is None:
+        if peer.location is None:
             continue
-        zone = peer.place.availability_zone
+        zone = peer.location.availability_zone
         if zone == membership.availability_zone:
             is_live = peer.vm in members
         else:
             is_live = peer.listed or peer.state is memberships.PeerState.LIVE
-        places[peer.vm] = Place(zone, peer.place.address, is_live)
+        places[peer.vm] = LinkCandidate(zone, peer.location.address, is_live)
     return choose_links(membership.vm, membership.availability_zone, places)
--- a/eelgrassknot/coordination/membership.py
+++ b/eelgrassknot/coordination/membership.py
@@ -14,8 +14,8 @@
 import dataclasses
 import enum
 
+from eelgrassknot.coordination import failure_detector
 from eelgrassknot.coordination import membership_messages as messages
-from eelgrassknot.coordination import suspicion
 from eelgrassknot import ids
 from eelgrassknot import states
 from eelgrassknot.storage import base
@@ -28,10 +28,10 @@
 
 EXPECTED_GAP_MS = 1_000.0
 GONE_AFTER_MS = 10_000.0
-FORGET_AFTER_MS = 600_000.0
+EXPIRE_AFTER_MS = 600_000.0
 # A tick that comes later than this tells that this VM stood still.
 MAX_TICK_GAP_MS = 1_000.0
-MAX_RETIRED = 4_096
+MAX_ENDED_INCARNATIONS = 4_096
 
 
 class PeerState(enum.Enum):
@@ -49,8 +49,8 @@
     """What is known of one peer."""
 
     vm: ids.VmId
-    place: messages.PeerAddress | None = None
-    introduced_ms: float | None = None
+    location: messages.PeerLocation | None = None
+    location_received_ms: float | None = None
     listed: bool = False
     incarnation: ids.IncarnationId | None = None
     started_ms: int = 0
@@ -58,7 +58,7 @@
     leaving: bool = False
     state: PeerState = PeerState.LISTED
     unheard: frozenset[ids.VmId] = frozenset()
-    detector: suspicion.Suspicion | None = None
+    detector: failure_detector.PhiAccrualDetector | None = None
 
 
 class Membership:
@@ -74,10 +74,10 @@
 
     Example:
         >>> membership = Membership('nadi-1', 'nadi-yard')
-        >>> heard = messages.HeartbeatHeard('nadi-2', 'i1', 0, 1, False)
+        >>> heard = messages.HeartbeatReceived('nadi-2', 'i1', 0, 1, False)
         >>> membership.handle(heard, 0.0)
         True
-        >>> membership.live()
+        >>> membership.live_peers()
         ['nadi-2']
     """
 
@@ -87,7 +87,7 @@
         self.vm = vm
         self.availability_zone = availability_zone
         self.peers: dict[ids.VmId, Peer] = {}
-        self.retired: dict[ids.IncarnationId, None] = {}
+        self.ended_incarnations: dict[ids.IncarnationId, None] = {}
         self.last_tick_ms: float | None = None
 
     def handle(self, event: messages.Event, now_ms: float) -> bool:
@@ -101,19 +101,19 @@
             Whether the state or the address of any peer has changed.
         """
         match event:
-            case messages.HeartbeatHeard():
-                return self._heard(event, now_ms)
-            case messages.PeerAddress(vm):
-                return vm != self.vm and self._introduced(event, now_ms)
+            case messages.HeartbeatReceived():
+                return self._on_heartbeat(event, now_ms)
+            case messages.PeerLocation(vm):
+                return vm != self.vm and self._on_location(event, now_ms)
             case messages.ListRead(entries):
-                self._read(entries)
-                return self._judge(now_ms)
+                self._on_list_read(entries)
+                return self._update_states(now_ms)
             case messages.Tick():
-                self._excuse_pause(now_ms)
-                return self._judge(now_ms)
+                self._discount_local_pause(now_ms)
+                return self._update_states(now_ms)
         return False
 
-    def live(self) -> list[ids.VmId]:
+    def live_peers(self) -> list[ids.VmId]:
         """Return the peers that are heard and may be given work."""
         return self.in_state(PeerState.LIVE)
 
@@ -125,7 +125,9 @@
 
     def zone_members(self) -> list[ids.VmId]:
         """Return this VM and the live peers of its zone, in order."""
-        peers = [vm for vm in self.live() if self._in_zone(self.peers[vm])]
+        peers = [
+            vm for vm in self.live_peers() if self._in_zone(self.peers[vm])
+        ]
         return sorted([*peers, self.vm])
 
     def unheard(self) -> list[ids.VmId]:
@@ -141,7 +143,7 @@
         self, vm: ids.VmId, incarnation: ids.IncarnationId
     ) -> bool | None:
         """Return whether an incarnation has ended; None if unknown."""
-        if incarnation in self.retired:
+        if incarnation in self.ended_incarnations:
             return True
         peer = self.peers.get(vm)
         if peer is None or peer.incarnation is None:
@@ -155,15 +157,19 @@
     def _peer(self, vm: ids.VmId) -> Peer:
         return self.peers.setdefault(vm, Peer(vm))
 
-    def _introduced(self, event: messages.PeerAddress, now_ms: float) -> bool:
+    def _on_location(
+        self, event: messages.PeerLocation, now_ms: float
+    ) -> bool:
         peer = self._peer(event.vm)
-        changed = peer.place != event
-        peer.place = event
-        peer.introduced_ms = now_ms
+        changed = peer.location != event
+        peer.location = event
+        peer.location_received_ms = now_ms
         return changed
 
-    def _heard(self, event: messages.HeartbeatHeard, now_ms: float) -> bool:
-        if event.vm == self.vm or event.incarnation in self.retired:
+    def _on_heartbeat(
+        self, event: messages.HeartbeatReceived, now_ms: float
+    ) -> bool:
+        if event.vm == self.vm or event.incarnation in self.ended_incarnations:
             return False
         peer = self._peer(event.vm)
         if peer.incarnation != event.incarnation:
@@ -177,31 +183,37 @@
         peer.leaving = peer.leaving or event.leaving
         assert peer.detector is not None
         if peer.state is PeerState.GONE:
-            peer.detector = suspicion.Suspicion(EXPECTED_GAP_MS)
-        peer.detector.heard(now_ms)
+            peer.detector = failure_detector.PhiAccrualDetector(
+                EXPECTED_GAP_MS
+            )
+        peer.detector.record_heartbeat(now_ms)
         # Only the sender is judged anew: with all of them, the cost of
         # heartbeats would grow with the square of the zone's size.
-        return self._judge_peer(peer, now_ms)
+        return self._update_state(peer, now_ms)
 
-    def _replaces(self, event: messages.HeartbeatHeard, peer: Peer) -> bool:
+    def _replaces(self, event: messages.HeartbeatReceived, peer: Peer) -> bool:
         if peer.state in (PeerState.LISTED, PeerState.GONE):
             return True
         return event.started_ms > peer.started_ms
 
     def _start_incarnation(
-        self, peer: Peer, event: messages.HeartbeatHeard
+        self, peer: Peer, event: messages.HeartbeatReceived
     ) -> None:
         if peer.incarnation is not None:
-            self.retired[peer.incarnation] = None
-            if len(self.retired) > MAX_RETIRED:
-                del self.retired[next(iter(self.retired))]
+            self.ended_incarnations[peer.incarnation] = None
+            if len(self.ended_incarnations) > MAX_ENDED_INCARNATIONS:
+                del self.ended_incarnations[
+                    next(iter(self.ended_incarnations))
+                ]
         peer.incarnation = event.incarnation
         peer.started_ms = event.started_ms
         peer.sequence = -1
         peer.leaving = False
-        peer.detector = suspicion.Suspicion(EXPECTED_GAP_MS)
+        peer.detector = failure_detector.PhiAccrualDetector(EXPECTED_GAP_MS)
 
-    def _read(self, entries: collections.abc.Sequence[base.VmEntry]) -> None:
+    def _on_list_read(
+        self, entries: collections.abc.Sequence[base.VmEntry]
+    ) -> None:
         for peer in self.peers.values():
             peer.listed = False
         for entry in entries:
@@ -209,9 +221,9 @@
                 continue
             peer = self._peer(entry.vm)
             peer.listed = True
-            if peer.place is None or peer.state is not PeerState.LIVE:
+            if peer.location is None or peer.state is not PeerState.LIVE:
                 # A live peer's own word is newer than the list.
-                peer.place = messages.PeerAddress(
+                peer.location = messages.PeerLocation(
                     entry.vm,
                     f'{entry.address}:{entry.port}',
                     entry.availability_zone,
@@ -220,42 +232,42 @@
             if entry.state is states.UpstreamState.LEAVING:
                 peer.leaving = peer.leaving or peer.incarnation is not None
 
-    def _excuse_pause(self, now_ms: float) -> None:
+    def _discount_local_pause(self, now_ms: float) -> None:
         last_ms = self.last_tick_ms
         self.last_tick_ms = now_ms
         if last_ms is None or now_ms - last_ms <= MAX_TICK_GAP_MS:
             return
         for peer in self.peers.values():
             if peer.detector is not None:
-                peer.detector.excuse(now_ms - last_ms)
+                peer.detector.discount_pause(now_ms - last_ms)
 
-    def _judge(self, now_ms: float) -> bool:
+    def _update_states(self, now_ms: float) -> bool:
         changed = False
         for peer in list(self.peers.values()):
-            changed = self._judge_peer(peer, now_ms) or changed
-            if self._is_forgotten(peer, now_ms):
+            changed = self._update_state(peer, now_ms) or changed
+            if self._is_expired(peer, now_ms):
                 del self.peers[peer.vm]
                 changed = True
         return changed
 
-    def _judge_peer(self, peer: Peer, now_ms: float) -> bool:
-        state = self._state_of(peer, now_ms)
+    def _update_state(self, peer: Peer, now_ms: float) -> bool:
+        state = self._compute_state(peer, now_ms)
         changed = state is not peer.state
         peer.state = state
         return changed
 
-    def _state_of(self, peer: Peer, now_ms: float) -> PeerState:
+    def _compute_state(self, peer: Peer, now_ms: float) -> PeerState:
         detector = peer.detector
         if detector is None or detector.last_ms is None:
             return PeerState.LISTED
         if not detector.is_suspect(now_ms):
             return PeerState.LEAVING if peer.leaving else PeerState.LIVE
         silence_ms = now_ms - detector.last_ms
-        if silence_ms > GONE_AFTER_MS and self._all_miss(peer):
+        if silence_ms > GONE_AFTER_MS and self._is_confirmed_silent(peer):
             return PeerState.GONE
         return PeerState.SUSPECTED
 
-    def _all_miss(self, peer: Peer) -> bool:
+    def _is_confirmed_silent(self, peer: Peer) -> bool:
         if not self._in_zone(peer):
             return not peer.listed
         witnesses = [
@@ -266,18 +278,18 @@
         return all(peer.vm in other.unheard for other in witnesses)
 
     def _in_zone(self, peer: Peer) -> bool:
-        place = peer.place
+        place = peer.location
         if place is None:
             return True
         return place.availability_zone == self.availability_zone
 
-    def _is_forgotten(self, peer: Peer, now_ms: float) -> bool:
+    def _is_expired(self, peer: Peer, now_ms: float) -> bool:
         if peer.listed:
             return False
-        known_ms = [peer.introduced_ms]
+        known_ms = [peer.location_received_ms]
         if peer.detector is not None:
             known_ms.append(peer.detector.last_ms)
         newest_ms = max(
             (ms for ms in known_ms if ms is not None), default=None
         )
-        return newest_ms is None or now_ms - newest_ms > FORGET_AFTER_MS
+        return newest_ms is None or now_ms - newest_ms > EXPIRE_AFTER_MS
--- a/eelgrassknot/coordination/membership_messages.py
+++ b/eelgrassknot/coordination/membership_messages.py
@@ -5,11 +5,11 @@
 from eelgrassknot import ids
 from eelgrassknot.storage import base
 
-__all__ = ['Event', 'HeartbeatHeard', 'ListRead', 'PeerAddress', 'Tick']
+__all__ = ['Event', 'HeartbeatReceived', 'ListRead', 'PeerLocation', 'Tick']
 
 
 @dataclasses.dataclass(frozen=True)
-class PeerAddress:
+class PeerLocation:
     """Where a peer is and where it listens to its peers."""
 
     vm: ids.VmId
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class HeartbeatHeard:
+class HeartbeatReceived:
     """A heartbeat came; the link has checked who sent it.
 
     Attributes:
@@ -48,4 +48,4 @@
     """Time has passed."""
 
 
-Event = HeartbeatHeard | ListRead | PeerAddress | Tick
+Event = HeartbeatReceived | ListRead | PeerLocation | Tick
--- a/eelgrassknot/coordination/membership_part.py
+++ b/eelgrassknot/coordination/membership_part.py
@@ -25,7 +25,7 @@
 __all__ = ['EntryVmsChanged', 'MembershipPart']
 
 TICK_MS = 200.0
-FAR_INTERVAL_MS = 2_000.0
+REMOTE_INTERVAL_MS = 2_000.0
 INTRODUCTION_MS = 10_000.0
 # How often an address of the settings is asked who is there.
 ADDRESS_INTERVAL_MS = 500.0
@@ -74,30 +74,30 @@
         # Changes are acted on one at a time, in the order of the states.
         self.change_lock = threading.Lock()
         self.links = links.Links({}, {})
-        self.seen: dict[ids.VmId, memberships.PeerState] = {}
-        self.announced: EntryVmsChanged | None = None
-        self.payload: PayloadSource | None = None
-        self.far_loads: collections.abc.Callable[[], tuple] = tuple
+        self.last_states: dict[ids.VmId, memberships.PeerState] = {}
+        self.last_published: EntryVmsChanged | None = None
+        self.payload_source: PayloadSource | None = None
+        self.zone_load_source: collections.abc.Callable[[], tuple] = tuple
         self.next_heartbeat_ms = float('-inf')
-        self.next_far_ms = float('-inf')
+        self.next_remote_ms = float('-inf')
         self.next_introduction_ms = float('-inf')
         self.next_address_ms = float('-inf')
-        self.introduce_to: set[str] = set()
+        self.pending_introductions: set[str] = set()
         self.ticker = ticker.Ticker('membership', TICK_MS, self._tick)
-        node.hub.subscribe(vm_list_part.VmListRead, self._listed)
+        node.hub.subscribe(vm_list_part.VmListRead, self._on_list_read)
 
     def bind(self) -> None:
         """Learn of the parts that this one works with."""
         self.config = self.node.part_set.parts['config']
         self.link = self.node.part_set.parts['peers'].link
-        self.link.on_message(messages.Heartbeat, self._heard)
-        self.link.on_message(messages.Introduction, self._introduced)
+        self.link.on_message(messages.Heartbeat, self._on_heartbeat)
+        self.link.on_message(messages.Introduction, self._on_introduction)
 
     def start(self) -> None:
         """Begin to send and hear heartbeats."""
         for address in self.node.settings.known_peers:
             self.link.connect(address, address)
-            self.introduce_to.add(address)
+            self.pending_introductions.add(address)
         self.ticker.start()
 
     def drain(self) -> None:
@@ -134,17 +134,17 @@
                 peer.vm
                 for peer in self.membership.peers.values()
                 if peer.state in possible
-                and peer.place is not None
-                and peer.place.region == region
+                and peer.location is not None
+                and peer.location.region == region
             ]
         return sorted([*names, self.node.settings.vm])
 
-    def ask(
+    def request(
         self, vm: ids.VmId, query: object, timeout_ms: float
     ) -> result.Result[object, exceptions.UpstreamError]:
         """Ask any entry VM, connecting to it first if need be."""
         until_ms = self.node.clock.now_ms() + timeout_ms
-        if not self._reach(vm, until_ms):
+        if not self._connect(vm, until_ms):
             error = exceptions.UpstreamError(
                 f'{vm} cannot be reached', 'ask again later', False
             )
@@ -152,30 +152,30 @@
         left_ms = until_ms - self.node.clock.now_ms()
         return self.link.request(vm, query, max(1.0, left_ms))
 
-    def tell(
+    def send(
         self, vm: ids.VmId, message: messages.Message, timeout_ms: float
     ) -> bool:
         """Send to any entry VM, connecting to it first if need be."""
         until_ms = self.node.clock.now_ms() + timeout_ms
-        return self._reach(vm, until_ms) and self.link.send(vm, message)
+        return self._connect(vm, until_ms) and self.link.send(vm, message)
 
-    def _reach(self, vm: ids.VmId, until_ms: float) -> bool:
+    def _connect(self, vm: ids.VmId, until_ms: float) -> bool:
         with self.lock:
             peer = self.membership.peers.get(vm)
-            place = peer.place if peer else None
+            place = peer.location if peer else None
         if place is None:
             return False
         self.link.connect(vm, place.address)
-        while not self.link.send(vm, self._introduction(False)):
+        while not self.link.send(vm, self._make_introduction(False)):
             if self.node.clock.now_ms() > until_ms:
                 return False
             time.sleep(CONNECT_RETRY_S)
         return True
 
-    def _heard(self, envelope: messages.Envelope) -> None:
+    def _on_heartbeat(self, envelope: messages.Envelope) -> None:
         heartbeat = envelope.message
-        self._apply(
-            membership_messages.HeartbeatHeard(
+        self._handle(
+            membership_messages.HeartbeatReceived(
                 envelope.vm,
                 envelope.incarnation,
                 envelope.started_ms,
@@ -185,34 +185,34 @@
             )
         )
 
-    def _introduced(self, envelope: messages.Envelope) -> None:
+    def _on_introduction(self, envelope: messages.Envelope) -> None:
         told = envelope.message
-        self._apply(
-            membership_messages.PeerAddress(
+        self._handle(
+            membership_messages.PeerLocation(
                 envelope.vm, told.address, told.availability_zone, told.region
             )
         )
         if told.answer:
             self.link.connect(envelope.vm, told.address)
-            self.introduce_to.add(envelope.vm)
-        if told.address in self.introduce_to:
+            self.pending_introductions.add(envelope.vm)
+        if told.address in self.pending_introductions:
             # A known address has a name now.
-            self.introduce_to.discard(told.address)
+            self.pending_introductions.discard(told.address)
             self.link.disconnect(told.address)
 
-    def _apply(self, event: membership_messages.Event) -> None:
+    def _handle(self, event: membership_messages.Event) -> None:
         now_ms = self.node.clock.now_ms()
         with self.lock:
             changed = self.membership.handle(event, now_ms)
         if changed or isinstance(event, membership_messages.ListRead):
             with self.change_lock:
-                self._changed()
+                self._process_changes()
 
-    def _changed(self) -> None:
+    def _process_changes(self) -> None:
         with self.lock:
-            before = self.seen
+            before = self.last_states
             after = _states(self.membership)
-            self.seen = after
+            self.last_states = after
         for vm, state in after.items():
             if before.get(vm) is not state:
                 logs.event('peer_state', peer=vm, state=state.value)
@@ -222,32 +222,34 @@
             self.links = links.plan_links(self.membership)
             members = tuple(self.membership.zone_members())
             count = 1 + sum(_may_serve(s) for s in after.values())
-        wanted = {**self.links.zone, **self.links.far}
+        wanted = {**self.links.zone_peers, **self.links.remote_gateways}
         for vm, address in wanted.items():
             if self.link.addresses.get(vm) != address:
                 self.link.connect(vm, address)
-                self.introduce_to.add(vm)
+                self.pending_introductions.add(vm)
         for vm in set(before) - set(after):
             self.link.disconnect(vm)
         announced = EntryVmsChanged(members, count)
-        if announced != self.announced:
-            self.announced = announced
+        if announced != self.last_published:
+            self.last_published = announced
             self.node.hub.publish(announced)
 
     def _tick(self) -> None:
         now_ms = self.node.clock.now_ms()
-        self._apply(membership_messages.Tick())
-        self._introduce(now_ms)
+        self._handle(membership_messages.Tick())
+        self._send_introductions(now_ms)
         if now_ms >= self.next_heartbeat_ms:
             self._send_heartbeats(now_ms)
-        if now_ms >= self.next_far_ms and self.links.far:
-            self.next_far_ms = now_ms + FAR_INTERVAL_MS
-            self.link.broadcast(self.links.far, self._far_heartbeat())
+        if now_ms >= self.next_remote_ms and self.links.remote_gateways:
+            self.next_remote_ms = now_ms + REMOTE_INTERVAL_MS
+            self.link.broadcast(
+                self.links.remote_gateways, self._remote_heartbeat()
+            )
 
-    def _listed(self, event: vm_list_part.VmListRead) -> None:
-        self._apply(membership_messages.ListRead(event.entries))
+    def _on_list_read(self, event: vm_list_part.VmListRead) -> None:
+        self._handle(membership_messages.ListRead(event.entries))
 
-    def _introduction(self, answer: bool) -> messages.Introduction:
+    def _make_introduction(self, answer: bool) -> messages.Introduction:
         settings = self.node.settings
         return messages.Introduction(
             self.link.address,
@@ -256,34 +258,40 @@
             answer,
         )
 
-    def _introduce(self, now_ms: float) -> None:
+    def _send_introductions(self, now_ms: float) -> None:
         if now_ms >= self.next_introduction_ms:
             self.next_introduction_ms = now_ms + INTRODUCTION_MS
-            self.introduce_to.update(self.links.zone, self.links.far)
+            self.pending_introductions.update(
+                self.links.zone_peers, self.links.remote_gateways
+            )
         ask_addresses = now_ms >= self.next_address_ms
         if ask_addresses:
             self.next_address_ms = now_ms + ADDRESS_INTERVAL_MS
-        for name in list(self.introduce_to):
+        for name in list(self.pending_introductions):
             is_address = name == self.link.addresses.get(name)
             if is_address and not ask_addresses:
                 continue
-            if self.link.send(name, self._introduction(is_address)):
+            if self.link.send(name, self._make_introduction(is_address)):
                 if not is_address:
-                    self.introduce_to.discard(name)
+                    self.pending_introductions.discard(name)
 
     def _heartbeat_interval_ms(self) -> float:
-        peers = max(1, len(self.links.zone))
+        peers = max(1, len(self.links.zone_peers))
         interval_ms = peers * clocks.MS_PER_SECOND / MAX_HEARTBEATS_PER_S
         return min(MAX_HEARTBEAT_MS, max(MIN_HEARTBEAT_MS, interval_ms))
 
     def _send_heartbeats(self, now_ms: float) -> None:
         interval_ms = self._heartbeat_interval_ms()
         self.next_heartbeat_ms = now_ms + interval_ms
-        if not self.links.zone:
+        if not self.links.zone_peers:
             return
         share = DIGEST_BYTES_PER_S * interval_ms / clocks.MS_PER_SECOND
-        budget = max(MIN_DIGEST_BYTES, share / len(self.links.zone))
-        payload = self.payload(budget) if self.payload else _NOTHING
+        budget = max(MIN_DIGEST_BYTES, share / len(self.links.zone_peers))
+        payload = (
+            self.payload_source(budget)
+            if self.payload_source
+            else _EMPTY_PAYLOAD
+        )
         with self.lock:
             unheard = tuple(self.membership.unheard())
         heartbeat = messages.Heartbeat(
@@ -296,17 +304,17 @@
             payload.zones,
             payload.cache,
         )
-        self.link.broadcast(self.links.zone, heartbeat)
+        self.link.broadcast(self.links.zone_peers, heartbeat)
 
-    def _far_heartbeat(self) -> messages.Heartbeat:
+    def _remote_heartbeat(self) -> messages.Heartbeat:
         return messages.Heartbeat(
             self.node.text_version,
             self.node.state is states.DaemonState.DRAINING,
-            zones=self.far_loads(),
+            zones=self.zone_load_source(),
         )
 
 
-_NOTHING = digest.Payload((), (), (), (), ())
+_EMPTY_PAYLOAD = digest.Payload((), (), (), (), ())
 
 
 def _states(membership: memberships.Membership) -> dict:
@@ -322,7 +330,7 @@
 
 
 def _peer_status(peer: memberships.Peer) -> dict[str, object]:
-    place = peer.place
+    place = peer.location
     return {
         'vm': peer.vm,
         'state': peer.state.value,
--- a/eelgrassknot/coordination/order_part.py
+++ b/eelgrassknot/coordination/order_part.py
@@ -46,8 +46,8 @@
         self.planner = order_planner.OrderPlanner()
         self.lease_held: lease_part.LeaseHeld | None = None
         self.events: queue.SimpleQueue = queue.SimpleQueue()
-        self.next_read = 0
-        self.ticker = ticker.Ticker('orders', ROUND_MS, self._round)
+        self.next_read_index = 0
+        self.ticker = ticker.Ticker('orders', ROUND_MS, self._run_round)
         subscribe = node.hub.subscribe
         subscribe(lease_part.LeaseHeld, self.events.put)
         subscribe(lease_part.LeaseEnded, self.events.put)
@@ -85,41 +85,41 @@
         )
         bad = failed or facts.stall_ms > STALL_MS
         self.events.put(
-            messages.RequestSeen(facts.service, facts.upstream, bad)
+            messages.RequestEnded(facts.service, facts.upstream, bad)
         )
 
-    def _round(self) -> None:
+    def _run_round(self) -> None:
         while not self.events.empty():
             self._translate(self.events.get())
         if self.lease_held is None:
             return
-        for upstream in self._to_read():
+        for upstream in self._engines_to_read():
             self._read_state(upstream)
-        self._tell(messages.Tick())
+        self._handle(messages.Tick())
 
     def _translate(self, event: object) -> None:
         match event:
             case lease_part.LeaseHeld(fencing):
-                self._gain(event, fencing)
+                self._on_lease_held(event, fencing)
             case lease_part.LeaseEnded():
                 self.lease_held = None
-                self._tell(messages.LeaseLost())
+                self._handle(messages.LeaseLost())
             case kernel_events.ConfigAdopted(_, text):
-                self._tell(messages.TextAdopted(text))
+                self._handle(messages.ConfigUpdated(text))
             case kernel_events.UpstreamsChanged(upstreams):
                 near = tuple(u for u in upstreams if u.region == self.region)
-                self._tell(messages.EnginesKnown(near))
-            case messages.RequestSeen():
-                self._tell(event)
+                self._handle(messages.UpstreamsUpdated(near))
+            case messages.RequestEnded():
+                self._handle(event)
 
-    def _gain(
+    def _on_lease_held(
         self, held: lease_part.LeaseHeld, fencing: ids.FencingNumber
     ) -> None:
         match self._read_rollouts():
             case result.Ok(records):
                 self.lease_held = held
-                self._tell(messages.LeaseGained(fencing, records))
-            case result.Err(error) if self._may_act(fencing):
+                self._handle(messages.LeaseGained(fencing, records))
+            case result.Err(error) if self._is_lease_valid(fencing):
                 logs.warning('rollouts_unreadable', why=error.message)
                 self.events.put(held)
                 time.sleep(ROUND_MS / clocks.MS_PER_SECOND)
@@ -140,34 +140,34 @@
             )
         )
 
-    def _may_act(self, fencing: ids.FencingNumber) -> bool:
-        return self.node.part_set.parts['lease'].may_act(fencing)
+    def _is_lease_valid(self, fencing: ids.FencingNumber) -> bool:
+        return self.node.part_set.parts['lease'].is_valid(fencing)
 
-    def _tell(self, event: messages.Event) -> None:
+    def _handle(self, event: messages.Event) -> None:
         now_ms = self.node.clock.now_ms()
         for action in self.planner.handle(event, now_ms):
-            self._carry_out(action)
+            self._execute(action)
 
-    def _carry_out(self, action: messages.Action) -> None:
+    def _execute(self, action: messages.Action) -> None:
         match action:
             case messages.WriteIntent():
-                self._announce(action)
+                self._write_intent(action)
             case messages.SendOrder():
                 self._send(action)
-            case messages.RolloutChanged():
-                self._keep_rollout(action)
+            case messages.SaveRollout():
+                self._save_rollout(action)
 
-    def _announce(self, action: messages.WriteIntent) -> None:
+    def _write_intent(self, action: messages.WriteIntent) -> None:
         written = self._write_order(action, order_rows.OrderState.ANNOUNCED)
         if written:
-            self._tell(messages.IntentWritten(action.upstream))
+            self._handle(messages.IntentWritten(action.upstream))
         else:
-            self._tell(messages.IntentLost(action.upstream))
+            self._handle(messages.IntentDropped(action.upstream))
 
     def _send(self, action: messages.SendOrder) -> None:
         intent = self.planner.pending[action.upstream]
-        if not self._may_act(intent.fencing):
-            self._tell(messages.IntentLost(action.upstream))
+        if not self._is_lease_valid(intent.fencing):
+            self._handle(messages.IntentDropped(action.upstream))
             return
         answer = http_client.request(
             'POST',
@@ -186,7 +186,7 @@
             state=state.value,
         )
         stale = state is order_rows.OrderState.STALE
-        self._tell(messages.OrderAnswered(action.upstream, stale))
+        self._handle(messages.OrderAnswered(action.upstream, stale))
         self._write_order(intent, state)
 
     def _write_order(
@@ -213,7 +213,7 @@
             write, rows.AuditKind.ORDER, intent.service, summary
         )
 
-    def _keep_rollout(self, action: messages.RolloutChanged) -> None:
+    def _save_rollout(self, action: messages.SaveRollout) -> None:
         record = action.record
         row = order_rows.RolloutRow(
             self.region, record, action.fencing, _wall_clock_ms()
@@ -229,7 +229,7 @@
             write, rows.AuditKind.ROLLOUT, record.service, summary
         )
         if not kept:
-            self._tell(messages.RolloutUnkept(record.service))
+            self._handle(messages.RolloutWriteFailed(record.service))
 
     def _write(
         self,
@@ -239,7 +239,7 @@
         summary: str,
     ) -> bool:
         held = self.lease_held
-        if held is None or not self._may_act(held.fencing):
+        if held is None or not self._is_lease_valid(held.fencing):
             return False
         at_ms = _wall_clock_ms()
         change = ids.ChangeId(ids.random_id())
@@ -256,7 +256,7 @@
             logs.warning('order_row_not_written', why=answer.err().message)
         return answer.is_ok()
 
-    def _to_read(self) -> list[kernel_events.UpstreamInfo]:
+    def _engines_to_read(self) -> list[kernel_events.UpstreamInfo]:
         engines = sorted(
             (
                 upstream
@@ -267,8 +267,8 @@
         )
         if not engines:
             return []
-        start = self.next_read % len(engines)
-        self.next_read = start + MAX_STATE_READS
+        start = self.next_read_index % len(engines)
+        self.next_read_index = start + MAX_STATE_READS
         turned = engines[start:] + engines[:start]
         return turned[:MAX_STATE_READS]
 
@@ -281,7 +281,7 @@
         match answer:
             case result.Ok(http_client.HttpAnswer(status=200, body=body)):
                 try:
-                    state = msgspec.json.decode(body, type=orders.HeldState)
+                    state = msgspec.json.decode(body, type=orders.EngineState)
                 except msgspec.MsgspecError as error:
                     logs.warning(
                         'order_state_unreadable',
@@ -289,9 +289,11 @@
                         why=error,
                     )
                     return
-                self._tell(messages.StateRead(upstream.upstream, state))
+                self._handle(
+                    messages.EngineStateRead(upstream.upstream, state)
+                )
             case _:
-                self._tell(messages.StateUnknown(upstream.upstream))
+                self._handle(messages.EngineStateUnknown(upstream.upstream))
 
 
 def _order_state(
--- a/eelgrassknot/coordination/order_planner.py
+++ b/eelgrassknot/coordination/order_planner.py
@@ -2,8 +2,8 @@
 
 from eelgrassknot.coordination import order_messages as messages
 from eelgrassknot.coordination import orders
-from eelgrassknot.coordination import pacing
 from eelgrassknot.coordination import rollout
+from eelgrassknot.coordination import token_bucket
 from eelgrassknot import ids
 from eelgrassknot.kernel import events as kernel_events
 from eelgrassknot.settings import text as services_text
@@ -28,13 +28,13 @@
     def __init__(self) -> None:
         self.text: services_text.ServicesText | None = None
         self.upstreams: dict[ids.UpstreamId, kernel_events.UpstreamInfo] = {}
-        self.held: dict[ids.UpstreamId, orders.HeldState] = {}
+        self.engine_states: dict[ids.UpstreamId, orders.EngineState] = {}
         self.pending: dict[ids.UpstreamId, messages.WriteIntent] = {}
         self.rollouts: dict[ids.ServiceName, rollout.Rollout] = {}
-        self.saved: dict[ids.ServiceName, rollout.RolloutRecord] = {}
+        self.saved_records: dict[ids.ServiceName, rollout.RolloutRecord] = {}
         self.fencing: ids.FencingNumber | None = None
-        self.quiet_until_ms = 0.0
-        self.weights: pacing.TokenBucket | None = None
+        self.wait_until_ms = 0.0
+        self.load_bucket: token_bucket.TokenBucket | None = None
 
     def handle(
         self, event: messages.Event, now_ms: float
@@ -47,76 +47,86 @@
         """
         match event:
             case messages.LeaseGained():
-                self._gain(event, now_ms)
+                self._on_lease_gained(event, now_ms)
             case messages.LeaseLost():
-                self._lose()
-            case messages.TextAdopted(text):
-                self._adopt(text, now_ms)
-            case messages.EnginesKnown(upstreams):
-                self._know(upstreams)
-            case messages.StateRead(upstream, state):
-                self.held[upstream] = state
-            case messages.StateUnknown(upstream):
-                self.held.pop(upstream, None)
-            case messages.RolloutUnkept(service):
+                self._reset()
+            case messages.ConfigUpdated(text):
+                self._on_config_updated(text, now_ms)
+            case messages.UpstreamsUpdated(upstreams):
+                self._set_upstreams(upstreams)
+            case messages.EngineStateRead(upstream, state):
+                self.engine_states[upstream] = state
+            case messages.EngineStateUnknown(upstream):
+                self.engine_states.pop(upstream, None)
+            case messages.RolloutWriteFailed(service):
                 # The next round keeps it again.
-                self.saved.pop(service, None)
+                self.saved_records.pop(service, None)
             case messages.IntentWritten(upstream):
                 return self._send(upstream)
-            case messages.IntentLost(upstream):
+            case messages.IntentDropped(upstream):
                 self.pending.pop(upstream, None)
             case messages.OrderAnswered(upstream, stale):
-                self._answered(upstream, stale)
-            case messages.RequestSeen(service, upstream, bad):
+                self._on_order_answered(upstream, stale)
+            case messages.RequestEnded(service, upstream, bad):
                 if service in self.rollouts:
                     self.rollouts[service].request_ended(upstream, bad)
             case messages.Tick():
                 return self._plan(now_ms)
         return []
 
-    def _gain(self, event: messages.LeaseGained, now_ms: float) -> None:
-        self._lose()
+    def _on_lease_gained(
+        self, event: messages.LeaseGained, now_ms: float
+    ) -> None:
+        self._reset()
         self.fencing = event.fencing
-        self.quiet_until_ms = now_ms + MAX_ORDER_FLIGHT_MS
-        self.saved = {r.service: r for r in event.records}
-        self._fresh_bucket(now_ms)
+        self.wait_until_ms = now_ms + MAX_ORDER_FLIGHT_MS
+        self.saved_records = {r.service: r for r in event.records}
+        self._reset_load_bucket(now_ms)
 
-    def _lose(self) -> None:
+    def _reset(self) -> None:
         self.fencing = None
-        self.held.clear()
+        self.engine_states.clear()
         self.pending.clear()
         self.rollouts.clear()
-        self.saved.clear()
-        self.weights = None
+        self.saved_records.clear()
+        self.load_bucket = None
 
-    def _adopt(self, text: services_text.ServicesText, now_ms: float) -> None:
+    def _on_config_updated(
+        self, text: services_text.ServicesText, now_ms: float
+    ) -> None:
         before = self.text
         self.text = text
         if before is None or before.weight_store != text.weight_store:
-            self._fresh_bucket(now_ms)
+            self._reset_load_bucket(now_ms)
 
-    def _fresh_bucket(self, now_ms: float) -> None:
+    def _reset_load_bucket(self, now_ms: float) -> None:
         if self.text is None or self.fencing is None:
             return
         per_ms = self.text.weight_store.loads_per_minute / MS_PER_MINUTE
-        self.weights = pacing.TokenBucket(per_ms, WEIGHT_LOAD_BURST, now_ms)
+        self.load_bucket = token_bucket.TokenBucket(
+            per_ms, WEIGHT_LOAD_BURST, now_ms
+        )
 
-    def _know(self, upstreams: tuple[kernel_events.UpstreamInfo, ...]) -> None:
+    def _set_upstreams(
+        self, upstreams: tuple[kernel_events.UpstreamInfo, ...]
+    ) -> None:
         self.upstreams = {
             upstream.upstream: upstream
             for upstream in upstreams
             if upstream.state is states.UpstreamState.LIVE
         }
-        for gone in self.held.keys() - self.upstreams.keys():
-            del self.held[gone]
+        for gone in self.engine_states.keys() - self.upstreams.keys():
+            del self.engine_states[gone]
             self.pending.pop(gone, None)
 
-    def _answered(self, upstream: ids.UpstreamId, stale: bool) -> None:
+    def _on_order_answered(
+        self, upstream: ids.UpstreamId, stale: bool
+    ) -> None:
         self.pending.pop(upstream, None)
         # What the engine holds now is unknown until it is read again.
-        self.held.pop(upstream, None)
+        self.engine_states.pop(upstream, None)
         if stale:
-            self._lose()
+            self._reset()
 
     def _send(self, upstream: ids.UpstreamId) -> list[messages.Action]:
         intent = self.pending.get(upstream)
@@ -139,7 +149,7 @@
     def _plan(self, now_ms: float) -> list[messages.Action]:
         if self.text is None or self.fencing is None:
             return []
-        if now_ms < self.quiet_until_ms:
+        if now_ms < self.wait_until_ms:
             return []
         actions: list[messages.Action] = []
         for name in orders.dependency_order(self.text):
@@ -154,20 +164,20 @@
     def _plan_service(
         self, service: services_text.Service, now_ms: float
     ) -> list[messages.Action]:
-        progress = self._progress(service)
+        progress = self._service_progress(service)
         plan = self._rollout(service)
         plan.observe(progress, now_ms)
         actions: list[messages.Action] = []
         record = plan.record()
-        if self.saved.get(service.service) != record:
-            self.saved[service.service] = record
-            actions.append(messages.RolloutChanged(record, self.fencing))
+        if self.saved_records.get(service.service) != record:
+            self.saved_records[service.service] = record
+            actions.append(messages.SaveRollout(record, self.fencing))
         continued = [
             upstream
             for upstream, reached in progress.items()
             if reached is rollout.EngineProgress.CHANGING
         ]
-        for upstream in continued + plan.startable():
+        for upstream in continued + plan.engines_to_change():
             actions += self._next_order(service, upstream, now_ms)
         return actions
 
@@ -177,7 +187,7 @@
         upstream: ids.UpstreamId,
         now_ms: float,
     ) -> list[messages.Action]:
-        state = self.held.get(upstream)
+        state = self.engine_states.get(upstream)
         if state is None or upstream in self.pending:
             return []
         if orders.is_loading(service.model, state):
@@ -186,7 +196,7 @@
         if not missing:
             return []
         order = missing[0]
-        if order.loads_weights and not self.weights.take(now_ms):
+        if order.loads_weights and not self.load_bucket.take(now_ms):
             return []
         intent = messages.WriteIntent(
             upstream, service.service, order, self.fencing
@@ -197,25 +207,27 @@
     def _rollout(self, service: services_text.Service) -> rollout.Rollout:
         plan = self.rollouts.get(service.service)
         if plan is None or plan.target != service.model:
-            record = self.saved.get(service.service)
+            record = self.saved_records.get(service.service)
             plan = rollout.Rollout(service.service, service.model, record)
             self.rollouts[service.service] = plan
         return plan
 
-    def _progress(
+    def _service_progress(
         self, service: services_text.Service
     ) -> dict[ids.UpstreamId, rollout.EngineProgress]:
         progress = {}
         for upstream in self._members(service.service):
-            state = self.held.get(upstream)
-            progress[upstream] = self._reached(service, upstream, state)
+            state = self.engine_states.get(upstream)
+            progress[upstream] = self._engine_progress(
+                service, upstream, state
+            )
         return progress
 
-    def _reached(
+    def _engine_progress(
         self,
         service: services_text.Service,
         upstream: ids.UpstreamId,
-        state: orders.HeldState | None,
+        state: orders.EngineState | None,
     ) -> rollout.EngineProgress:
         if upstream in self.pending:
             return rollout.EngineProgress.CHANGING
@@ -225,7 +237,7 @@
             return rollout.EngineProgress.CHANGING
         if not orders.missing_orders(service.model, state):
             return rollout.EngineProgress.UPDATED
-        held = state.held(service.model.model)
+        held = state.find_model(service.model.model)
         if held is None:
             return rollout.EngineProgress.EMPTY
         if held.version == service.model.version:
@@ -245,7 +257,9 @@
         if service.model is None:
             return bool(members)
         return any(
-            self._reached(service, upstream, self.held.get(upstream))
+            self._engine_progress(
+                service, upstream, self.engine_states.get(upstream)
+            )
             is rollout.EngineProgress.UPDATED
             for upstream in members
         )
--- a/eelgrassknot/coordination/peer_link.py
+++ b/eelgrassknot/coordination/peer_link.py
@@ -32,9 +32,9 @@
 RECONNECT_MS = 200
 MAX_RECONNECT_MS = 3_000
 POLL_MS = 500
-GATHER_MS = 200.0
+BATCH_DELAY_MS = 200.0
 # Questions beyond this many give the oldest one up.
-MAX_WAITING = 1_024
+MAX_PENDING_QUERIES = 1_024
 
 Handler = collections.abc.Callable[[messages.Envelope], None]
 QueryHandler = collections.abc.Callable[
@@ -73,9 +73,9 @@
         listen: str,
         codec: peer_codec.PeerCodec,
         clock: clocks.Clock,
-        gather_ms: float = GATHER_MS,
+        batch_delay_ms: float = BATCH_DELAY_MS,
     ) -> None:
-        self.gather_ms = gather_ms
+        self.batch_delay_ms = batch_delay_ms
         self.listen = listen
         self.codec = codec
         self.clock = clock
@@ -84,9 +84,9 @@
         self.addresses: dict[str, str] = {}
         self.sockets: dict[str, zmq.Socket] = {}
         self.handlers: dict[type, list[Handler]] = {}
-        self.queries: dict[type, QueryHandler] = {}
-        self.waiting: dict[int, concurrent.futures.Future] = {}
-        self.requests = 0
+        self.query_handlers: dict[type, QueryHandler] = {}
+        self.pending_replies: dict[int, concurrent.futures.Future] = {}
+        self.last_request = 0
         self.counters = link_counters.LinkCounters()
         # Guards the sending sockets, which several threads use in turn,
         # and keeps messages in the order of their sequence numbers.
@@ -102,19 +102,19 @@
         Raises:
             SettingsError: If the address cannot be bound.
         """
-        self.puller = self.context.socket(zmq.PULL)
-        self.puller.setsockopt(zmq.RCVHWM, RECEIVE_QUEUE_MESSAGES)
-        self.puller.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
-        self.puller.setsockopt(zmq.LINGER, 0)
-        _set_pings(self.puller)
+        self.receiver = self.context.socket(zmq.PULL)
+        self.receiver.setsockopt(zmq.RCVHWM, RECEIVE_QUEUE_MESSAGES)
+        self.receiver.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
+        self.receiver.setsockopt(zmq.LINGER, 0)
+        _set_pings(self.receiver)
         try:
-            self.puller.bind(f'tcp://{self.listen}')
+            self.receiver.bind(f'tcp://{self.listen}')
         except zmq.ZMQError as error:
             raise exceptions.SettingsError(
                 f'cannot listen to peers on {self.listen}: {error}',
                 'name a free address of this VM as listen.peers',
             ) from error
-        endpoint = self.puller.getsockopt_string(zmq.LAST_ENDPOINT)
+        endpoint = self.receiver.getsockopt_string(zmq.LAST_ENDPOINT)
         self.address = endpoint.removeprefix('tcp://')
         self.thread.start()
 
@@ -135,7 +135,7 @@
 
     def on_query(self, kind: type, handler: QueryHandler) -> None:
         """Have a handler answer each question of a class."""
-        self.queries[kind] = handler
+        self.query_handlers[kind] = handler
 
     def connect(self, name: str, address: str) -> None:
         """Connect to a peer, anew if its address has changed.
@@ -163,7 +163,7 @@
         to = '' if name == self.addresses.get(name) else name
         with self.lock:
             data = self.codec.encode(message, to)
-            return self._push(name, kind, data)
+            return self._send_encoded(name, kind, data)
 
     def broadcast(
         self,
@@ -178,21 +178,23 @@
         kind = type(message).__name__
         with self.lock:
             data = self.codec.encode(message)
-            return sum(self._push(name, kind, data) for name in names)
+            return sum(self._send_encoded(name, kind, data) for name in names)
 
-    def ask(
+    def send_query(
         self, name: str, query: messages.Query
     ) -> concurrent.futures.Future:
         """Ask a peer; the future is given its reply if one comes."""
         future: concurrent.futures.Future = concurrent.futures.Future()
         with self.lock:
-            self.requests += 1
-            number = self.requests
-            self.waiting[number] = future
-            unanswered = next(iter(self.waiting))
-        if len(self.waiting) > MAX_WAITING:
-            self.waiting[unanswered].cancel()
-        future.add_done_callback(lambda _: self.waiting.pop(number, None))
+            self.last_request += 1
+            number = self.last_request
+            self.pending_replies[number] = future
+            unanswered = next(iter(self.pending_replies))
+        if len(self.pending_replies) > MAX_PENDING_QUERIES:
+            self.pending_replies[unanswered].cancel()
+        future.add_done_callback(
+            lambda _: self.pending_replies.pop(number, None)
+        )
         if not self.send(name, messages.Request(number, query)):
             future.cancel()
         return future
@@ -210,7 +212,7 @@
             query: The question.
             timeout_ms: How long to wait, in milliseconds.
         """
-        future = self.ask(name, query)
+        future = self.send_query(name, query)
         try:
             return result.Ok(future.result(timeout_ms / clocks.MS_PER_SECOND))
         except (
@@ -243,7 +245,7 @@
         if socket is not None:
             socket.close(linger=0)
 
-    def _push(self, name: str, kind: str, data: bytes) -> bool:
+    def _send_encoded(self, name: str, kind: str, data: bytes) -> bool:
         socket = self.sockets.get(name)
         if socket is None:
             self.counters.dropped[kind] += 1
@@ -260,19 +262,19 @@
 
     def _run(self) -> None:
         while not self.stopped.is_set():
-            if not self.puller.poll(POLL_MS):
+            if not self.receiver.poll(POLL_MS):
                 continue
-            if not self.waiting and self.gather_ms:
+            if not self.pending_replies and self.batch_delay_ms:
                 # Heartbeats come one by one; taking in several at once
                 # costs less than a wake-up for each.
-                self.stopped.wait(self.gather_ms / clocks.MS_PER_SECOND)
-            self._drain()
-        self.puller.close(linger=0)
+                self.stopped.wait(self.batch_delay_ms / clocks.MS_PER_SECOND)
+            self._receive_pending()
+        self.receiver.close(linger=0)
 
-    def _drain(self) -> None:
+    def _receive_pending(self) -> None:
         while True:
             try:
-                data = self.puller.recv(zmq.NOBLOCK)
+                data = self.receiver.recv(zmq.NOBLOCK)
             except zmq.Again:
                 return
             self._receive(data)
@@ -286,18 +288,18 @@
                 self.counters.received[kind] += 1
                 self.counters.received_bytes[kind] += len(data)
                 try:
-                    self._hand_over(envelope)
+                    self._dispatch(envelope)
                 except Exception as error:
                     # One bad message must not end the link.
                     logs.error('peer_message_failed', why=error, kind=kind)
 
-    def _hand_over(self, envelope: messages.Envelope) -> None:
+    def _dispatch(self, envelope: messages.Envelope) -> None:
         match envelope.message:
             case messages.Request(number, query):
-                answer = self.queries[type(query)](envelope.vm, query)
+                answer = self.query_handlers[type(query)](envelope.vm, query)
                 self.send(envelope.vm, messages.Reply(number, answer))
             case messages.Reply(number, answer):
-                future = self.waiting.get(number)
+                future = self.pending_replies.get(number)
                 if future is not None and not future.done():
                     future.set_result(answer)
             case message:
--- a/eelgrassknot/coordination/peer_messages.py
+++ b/eelgrassknot/coordination/peer_messages.py
@@ -19,7 +19,7 @@
     'EntryNews',
     'Envelope',
     'Heartbeat',
-    'HeldEntry',
+    'InFlightEntry',
     'Introduction',
     'ListChange',
     'ListFetch',
@@ -61,7 +61,7 @@
     leaving: bool = False
 
 
-class HeldEntry(msgspec.Struct, array_like=True, frozen=True):
+class InFlightEntry(msgspec.Struct, array_like=True, frozen=True):
     """What the sender holds at one upstream by its own dispatches."""
 
     upstream: int
@@ -128,7 +128,7 @@
     leaving: bool = False
     unheard: tuple[ids.VmId, ...] = ()
     loads: tuple[LoadEntry, ...] = ()
-    held: tuple[HeldEntry, ...] = ()
+    held: tuple[InFlightEntry, ...] = ()
     demands: tuple[DemandEntry, ...] = ()
     zones: tuple[ZoneLoad, ...] = ()
     cache: tuple[CacheEntry, ...] = ()
--- a/eelgrassknot/coordination/rollout.py
+++ b/eelgrassknot/coordination/rollout.py
@@ -15,13 +15,13 @@
 from eelgrassknot.settings import text as services_text
 
 __all__ = [
+    'compare_health',
     'EngineProgress',
     'Health',
     'Rollout',
     'RolloutRecord',
     'RolloutState',
     'Verdict',
-    'judge',
 ]
 
 MIN_SERVING_SHARE = 0.75
@@ -78,7 +78,9 @@
         return self.bad / self.requests if self.requests else 0.0
 
 
-def judge(updated: Health, unchanged: Health, watched_ms: float) -> Verdict:
+def compare_health(
+    updated: Health, unchanged: Health, watched_ms: float
+) -> Verdict:
     """Compare the updated engine with the unchanged ones.
 
     Args:
@@ -87,7 +89,7 @@
         watched_ms: How long the updated engine has served.
 
     Example:
-        >>> judge(Health(40, 20), Health(200, 2), 1_000.0).value
+        >>> compare_health(Health(40, 20), Health(200, 2), 1_000.0).value
         'bad'
     """
     if updated.requests >= CANARY_MIN_REQUESTS:
@@ -158,14 +160,14 @@
         """
         self.progress = dict(progress)
         if self.canary not in progress:
-            self._forget_canary()
+            self._clear_canary()
         match self.state:
             case RolloutState.IDLE:
-                self._begin()
+                self._choose_canary()
             case RolloutState.CANARY:
-                self._watch(now_ms)
+                self._evaluate_canary(now_ms)
             case RolloutState.SPREADING:
-                self._finish()
+                self._finish_if_updated()
 
     def request_ended(self, upstream: ids.UpstreamId, bad: bool) -> None:
         """Count a request that ended at an engine."""
@@ -175,32 +177,34 @@
         health.requests += 1
         health.bad += bad
 
-    def startable(self) -> list[ids.UpstreamId]:
+    def engines_to_change(self) -> list[ids.UpstreamId]:
         """Return the engines that may be changed now, the first first."""
         match self.state:
             case RolloutState.HALTED:
                 return []
             case RolloutState.CANARY:
                 return self._canary_only()
-        return self._in(EngineProgress.EMPTY) + self._replaceable()
+        return self._engines_in(EngineProgress.EMPTY) + self._replaceable()
 
-    def _begin(self) -> None:
-        outdated = self._in(EngineProgress.OUTDATED)
-        unknown = self._in(EngineProgress.UNKNOWN)
-        if not outdated or len(unknown) > self._spare():
+    def _choose_canary(self) -> None:
+        outdated = self._engines_in(EngineProgress.OUTDATED)
+        unknown = self._engines_in(EngineProgress.UNKNOWN)
+        if not outdated or len(unknown) > self._max_unavailable():
             return
-        changed = self._in(EngineProgress.UPDATED, EngineProgress.CHANGING)
+        changed = self._engines_in(
+            EngineProgress.UPDATED, EngineProgress.CHANGING
+        )
         self.canary = (changed or outdated)[0]
         self.state = RolloutState.CANARY
 
-    def _watch(self, now_ms: float) -> None:
+    def _evaluate_canary(self, now_ms: float) -> None:
         if self.progress[self.canary] is not EngineProgress.UPDATED:
             return
         if self.canary_since_ms is None:
             self.canary_since_ms = now_ms
             self.health.clear()
         watched_ms = now_ms - self.canary_since_ms
-        match judge(*self._compared(), watched_ms):
+        match compare_health(*self._health_by_group(), watched_ms):
             case Verdict.GOOD:
                 self.state = RolloutState.SPREADING
                 self.canary_since_ms = None
@@ -208,13 +212,13 @@
                 self.state = RolloutState.HALTED
                 self.canary_since_ms = None
 
-    def _finish(self) -> None:
-        updated = self._in(EngineProgress.UPDATED)
+    def _finish_if_updated(self) -> None:
+        updated = self._engines_in(EngineProgress.UPDATED)
         if len(updated) == len(self.progress):
             self.state = RolloutState.IDLE
             self.canary = None
 
-    def _compared(self) -> tuple[Health, Health]:
+    def _health_by_group(self) -> tuple[Health, Health]:
         updated = self.health.get(self.canary, Health())
         unchanged = Health()
         for upstream, health in self.health.items():
@@ -232,29 +236,29 @@
     def _replaceable(self) -> list[ids.UpstreamId]:
         if self.state is not RolloutState.SPREADING:
             return []
-        busy = self._in(
+        busy = self._engines_in(
             EngineProgress.CHANGING,
             EngineProgress.EMPTY,
             EngineProgress.UNKNOWN,
         )
-        free = max(0, self._spare() - len(busy))
-        return self._in(EngineProgress.OUTDATED)[:free]
+        free = max(0, self._max_unavailable() - len(busy))
+        return self._engines_in(EngineProgress.OUTDATED)[:free]
 
-    def _spare(self) -> int:
+    def _max_unavailable(self) -> int:
         count = len(self.progress)
         floor = math.ceil(count * MIN_SERVING_SHARE)
         # A service of few engines has to spare one, or it would never
         # be changed.
         return max(1, count - floor)
 
-    def _in(self, *wanted: EngineProgress) -> list[ids.UpstreamId]:
+    def _engines_in(self, *wanted: EngineProgress) -> list[ids.UpstreamId]:
         return sorted(
             upstream
             for upstream, reached in self.progress.items()
             if reached in wanted
         )
 
-    def _forget_canary(self) -> None:
+    def _clear_canary(self) -> None:
         self.canary = None
         self.canary_since_ms = None
         if self.state is RolloutState.CANARY:
--- a/eelgrassknot/coordination/upstream_membership.py
+++ b/eelgrassknot/coordination/upstream_membership.py
@@ -15,11 +15,11 @@
 from eelgrassknot.storage import base
 
 __all__ = [
-    'LeavingHeard',
+    'LeavingReported',
     'ListRead',
-    'Reachable',
+    'ReachabilityChanged',
     'UpstreamMembership',
-    'Withheld',
+    'WithheldUpdated',
 ]
 
 
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class LeavingHeard:
+class LeavingReported:
     """The upstream itself, or a peer, says that it leaves.
 
     Attributes:
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Reachable:
+class ReachabilityChanged:
     """Its observers can or cannot reach an upstream."""
 
     upstream: ids.UpstreamId
@@ -51,13 +51,13 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Withheld:
+class WithheldUpdated:
     """The services text withholds these upstreams from new work."""
 
     upstreams: frozenset[ids.UpstreamId]
 
 
-Event = ListRead | LeavingHeard | Reachable | Withheld
+Event = ListRead | LeavingReported | ReachabilityChanged | WithheldUpdated
 
 
 class UpstreamMembership:
@@ -90,12 +90,12 @@
         """
         match event:
             case ListRead(entries):
-                return self._read(entries)
-            case LeavingHeard(upstream, address):
-                return self._leave(upstream, address)
-            case Reachable(upstream, reachable):
-                return self._reach(upstream, reachable)
-            case Withheld(upstreams):
+                return self._on_list_read(entries)
+            case LeavingReported(upstream, address):
+                return self._mark_leaving(upstream, address)
+            case ReachabilityChanged(upstream, reachable):
+                return self._set_reachable(upstream, reachable)
+            case WithheldUpdated(upstreams):
                 changed = self.withheld != upstreams
                 self.withheld = upstreams
                 return changed
@@ -113,7 +113,9 @@
             return True
         return upstream in self.unreachable
 
-    def _read(self, entries: collections.abc.Sequence[base.VmEntry]) -> bool:
+    def _on_list_read(
+        self, entries: collections.abc.Sequence[base.VmEntry]
+    ) -> bool:
         listed = {
             ids.UpstreamId(entry.vm): entry
             for entry in entries
@@ -129,10 +131,10 @@
         self.unreachable.intersection_update(self.listed)
         for upstream, entry in self.listed.items():
             if entry.state is states.UpstreamState.LEAVING:
-                self._leave(upstream, _address(entry))
+                self._mark_leaving(upstream, _address(entry))
         return True
 
-    def _leave(self, upstream: ids.UpstreamId, address: str) -> bool:
+    def _mark_leaving(self, upstream: ids.UpstreamId, address: str) -> bool:
         entry = self.listed.get(upstream)
         # What was said of an earlier incarnation is not held against
         # the one that has taken its place.
@@ -143,7 +145,9 @@
         self.leaving[upstream] = address
         return True
 
-    def _reach(self, upstream: ids.UpstreamId, reachable: bool) -> bool:
+    def _set_reachable(
+        self, upstream: ids.UpstreamId, reachable: bool
+    ) -> bool:
         if reachable == (upstream not in self.unreachable):
             return False
         if reachable:
--- a/eelgrassknot/coordination/vm_audit_part.py
+++ b/eelgrassknot/coordination/vm_audit_part.py
@@ -24,10 +24,10 @@
 __all__ = ['VmAuditPart']
 
 # While the store is down the newest are kept.
-MAX_WAITING = 1_000
+MAX_PENDING_ROWS = 1_000
 ROWS_PER_TRANSACTION = 50
 # Longer than a takeover takes.
-REMEMBERED_MS = 30_000.0
+RETENTION_MS = 30_000.0
 
 
 @parts.part('vm_audit', after=('membership', 'lease'))
@@ -36,28 +36,30 @@
 
     def __init__(self, node: kernel_node.Node) -> None:
         self.node = node
-        self.held: lease_part.LeaseHeld | None = None
-        self.known: vm_list.Listed | None = None
-        self.waiting: collections.deque = collections.deque(maxlen=MAX_WAITING)
+        self.lease_held: lease_part.LeaseHeld | None = None
+        self.last_listed: vm_list.VmEntries | None = None
+        self.pending_writes: collections.deque = collections.deque(
+            maxlen=MAX_PENDING_ROWS
+        )
         self.lock = threading.Lock()
         self.executor = concurrent.futures.ThreadPoolExecutor(1, 'vm-audit')
-        node.hub.subscribe(lease_part.LeaseHeld, self._gained)
-        node.hub.subscribe(lease_part.LeaseEnded, self._ended)
-        node.hub.subscribe(vm_list_part.VmListRead, self._read)
+        node.hub.subscribe(lease_part.LeaseHeld, self._on_lease_held)
+        node.hub.subscribe(lease_part.LeaseEnded, self._on_lease_ended)
+        node.hub.subscribe(vm_list_part.VmListRead, self._on_list_read)
 
     def stop(self) -> None:
         """Write no more."""
         self.executor.shutdown(wait=False, cancel_futures=True)
 
-    def _gained(self, event: lease_part.LeaseHeld) -> None:
+    def _on_lease_held(self, event: lease_part.LeaseHeld) -> None:
         with self.lock:
-            self.held = event
+            self.lease_held = event
 
-    def _ended(self, event: lease_part.LeaseEnded) -> None:
+    def _on_lease_ended(self, event: lease_part.LeaseEnded) -> None:
         with self.lock:
-            self.held = None
+            self.lease_held = None
 
-    def _read(self, event: vm_list_part.VmListRead) -> None:
+    def _on_list_read(self, event: vm_list_part.VmListRead) -> None:
         region = self.node.settings.region
         listed = {
             entry.vm: entry
@@ -66,24 +68,24 @@
         }
         now_ms = self.node.clock.now_ms()
         with self.lock:
-            before, self.known = self.known, listed
+            before, self.last_listed = self.last_listed, listed
             if before is not None:
-                self._note(before, listed, now_ms)
-            if self.held is None:
-                self._forget(now_ms - REMEMBERED_MS)
+                self._record_changes(before, listed, now_ms)
+            if self.lease_held is None:
+                self._discard_before(now_ms - RETENTION_MS)
                 return
-            if not self.waiting:
+            if not self.pending_writes:
                 return
-        ticker.submit(self.executor, self._write)
+        ticker.submit(self.executor, self._write_pending)
 
-    def _forget(self, before_ms: float) -> None:
-        while self.waiting and self.waiting[0][0] < before_ms:
-            self.waiting.popleft()
+    def _discard_before(self, before_ms: float) -> None:
+        while self.pending_writes and self.pending_writes[0][0] < before_ms:
+            self.pending_writes.popleft()
 
-    def _note(
+    def _record_changes(
         self,
-        before: vm_list.Listed,
-        after: vm_list.Listed,
+        before: vm_list.VmEntries,
+        after: vm_list.VmEntries,
         now_ms: float,
     ) -> None:
         change = vm_list.difference(before, after)
@@ -111,12 +113,12 @@
         )
         key = rows.audit_key(at_ms, f'vm-{entry.vm}')
         write = base.Write(rows.AUDIT_TABLE, key, rows.encode(record))
-        self.waiting.append((now_ms, write))
+        self.pending_writes.append((now_ms, write))
 
-    def _write(self) -> None:
+    def _write_pending(self) -> None:
         with self.lock:
-            held = self.held
-            noted = list(self.waiting)[:ROWS_PER_TRANSACTION]
+            held = self.lease_held
+            noted = list(self.pending_writes)[:ROWS_PER_TRANSACTION]
         if held is None or not noted:
             return
         writes = [write for _, write in noted]
@@ -128,5 +130,5 @@
         if answer.is_ok():
             with self.lock:
                 for each in noted:
-                    if each in self.waiting:
-                        self.waiting.remove(each)
+                    if each in self.pending_writes:
+                        self.pending_writes.remove(each)
--- a/eelgrassknot/coordination/vm_list.py
+++ b/eelgrassknot/coordination/vm_list.py
@@ -9,12 +9,14 @@
 from eelgrassknot import ids
 from eelgrassknot.storage import base
 
-__all__ = ['Listed', 'apply', 'difference']
+__all__ = ['apply', 'difference', 'VmEntries']
 
-Listed = dict[ids.VmId, base.VmEntry]
+VmEntries = dict[ids.VmId, base.VmEntry]
 
 
-def difference(before: Listed, after: Listed) -> messages.ListChange | None:
+def difference(
+    before: VmEntries, after: VmEntries
+) -> messages.ListChange | None:
     """Return what has changed, or None if nothing has.
 
     Args:
@@ -34,7 +36,7 @@
     return messages.ListChange(entries, removed)
 
 
-def apply(known: Listed, change: messages.ListChange) -> Listed:
+def apply(known: VmEntries, change: messages.ListChange) -> VmEntries:
     """Return the list with a change that a peer saw.
 
     A peer may have read an older list; the next read of one's own
--- a/eelgrassknot/coordination/vm_list_part.py
+++ b/eelgrassknot/coordination/vm_list_part.py
@@ -47,7 +47,7 @@
 
     def __init__(self, node: kernel_node.Node) -> None:
         self.node = node
-        self.entries: vm_list.Listed | None = None
+        self.entries: vm_list.VmEntries | None = None
         self.next_read_ms = float('-inf')
         self.seen_live = False
         self.leaving_since_ms: float | None = None
@@ -58,7 +58,7 @@
         """Learn of the parts that this one works with."""
         self.link = self.node.part_set.parts['peers'].link
         self.membership = self.node.part_set.parts['membership']
-        self.link.on_message(messages.ListChange, self._told)
+        self.link.on_message(messages.ListChange, self._on_list_change)
         self.link.on_query(messages.ListFetch, self._answer_fetch)
 
     def start(self) -> None:
@@ -96,13 +96,15 @@
                 listed = {entry.vm: entry for entry in entries}
                 change = vm_list.difference(self.entries or {}, listed)
                 if self.entries is not None and change is not None:
-                    self.link.broadcast(self.membership.links.zone, change)
+                    self.link.broadcast(
+                        self.membership.links.zone_peers, change
+                    )
                 self._publish(listed)
             case result.Err(_) if self.entries is None:
                 self._fetch_from_peer()
 
     def _fetch_from_peer(self) -> None:
-        names = sorted(self.membership.links.zone)
+        names = sorted(self.membership.links.zone_peers)
         if not names:
             return
         name = self.node.generator.choice(names)
@@ -116,17 +118,17 @@
     ) -> messages.ListChange:
         return messages.ListChange(tuple((self.entries or {}).values()), ())
 
-    def _told(self, envelope: messages.Envelope) -> None:
+    def _on_list_change(self, envelope: messages.Envelope) -> None:
         # Before this VM has read the list itself, a change tells little.
         if self.entries is not None:
             self._publish(vm_list.apply(self.entries, envelope.message))
 
-    def _publish(self, listed: vm_list.Listed) -> None:
+    def _publish(self, listed: vm_list.VmEntries) -> None:
         self.entries = listed
         self.node.hub.publish(VmListRead(tuple(listed.values())))
-        self._look_for_leave(listed)
+        self._check_own_entry(listed)
 
-    def _look_for_leave(self, listed: vm_list.Listed) -> None:
+    def _check_own_entry(self, listed: vm_list.VmEntries) -> None:
         own = listed.get(self.node.settings.vm)
         if own is None or own.state is states.UpstreamState.LIVE:
             self.seen_live = self.seen_live or own is not None
--- a/eelgrassknot/forwarding/knowledge.py
+++ b/eelgrassknot/forwarding/knowledge.py
@@ -306,7 +306,7 @@
             return
         mark = table.mirror.mark
         query = messages.RowsFetch(told.table, mark.version if mark else 0)
-        future = self.board.link.ask(vm, query)
+        future = self.board.link.send_query(vm, query)
         future.add_done_callback(
             lambda done: self.loop.call_soon(
                 functools.partial(self._take_reply, done)
--- a/eelgrassknot/forwarding/peer_board.py
+++ b/eelgrassknot/forwarding/peer_board.py
@@ -104,7 +104,7 @@
     def broadcast(self, message: messages.Message) -> None:
         """Send a message to the peers of the zone, or to all if few."""
         if self.link is not None:
-            self.link.broadcast(list(self.roster.links.zone), message)
+            self.link.broadcast(list(self.roster.links.zone_peers), message)
 
     def send_far(
         self,
@@ -174,7 +174,7 @@
             [key.ok_value[0]],
         )
         link = peer_link.PeerLink(
-            self.row.address, codec, self.clock, gather_ms=0.0
+            self.row.address, codec, self.clock, batch_delay_ms=0.0
         )
         self.prepare(link)
         link.start()
--- a/eelgrassknot/forwarding/peer_roster.py
+++ b/eelgrassknot/forwarding/peer_roster.py
@@ -55,7 +55,7 @@
     Example:
         >>> roster = PeerRoster('a', 'z')
         >>> roster.take_rows({'b': VmRow('10.0.0.2:1', 'y')}, 0.0)
-        >>> roster.plan(0.0).zone
+        >>> roster.plan(0.0).zone_peers
         {'b': '10.0.0.2:1'}
     """
 
@@ -115,7 +115,7 @@
                 self.vm,
                 self.availability_zone,
                 {
-                    vm: zone_links.Place(
+                    vm: zone_links.LinkCandidate(
                         row.availability_zone,
                         row.address,
                         self._may_be_gateway(vm, row, now_ms),
--- a/eelgrassknot/forwarding/zone_digests.py
+++ b/eelgrassknot/forwarding/zone_digests.py
@@ -72,7 +72,7 @@
         if zone == self.zone or now_ms - heard_ms <= DIRECT_MS:
             return
         self.tally.take(('zone', zone), news)
-        if vm in self.knowledge.board.roster.links.far:
+        if vm in self.knowledge.board.roster.links.remote_gateways:
             self.to_relay[zone] = msgspec.structs.replace(news, marks=())
 
     def _tell(self) -> None:
@@ -82,7 +82,7 @@
         relayed, self.to_relay = self.to_relay, {}
         for news in relayed.values():
             board.broadcast(news)
-        far = self._due(board.roster.links.far)
+        far = self._due(board.roster.links.remote_gateways)
         if far:
             board.send_far(far, self._digest())
 
--- a/eelgrassknot/frontend/claim_part.py
+++ b/eelgrassknot/frontend/claim_part.py
@@ -77,7 +77,7 @@
         self.relays = members['relays']
         peers_part = members.get('request_peers')
         if peers_part is not None:
-            peers_part.lookup = self.ledger.answer
+            peers_part.lookup_owner = self.ledger.answer
 
     def start(self) -> None:
         """Begin to store outcomes."""
--- a/tests/coordination/fleet.py
+++ b/tests/coordination/fleet.py
@@ -52,7 +52,7 @@
         self.bad_version = None
         self.lost_answers = set()
         self.most_changing = 0
-        self.planner.handle(messages.EnginesKnown(self.infos()), 0.0)
+        self.planner.handle(messages.UpstreamsUpdated(self.infos()), 0.0)
 
     def infos(self):
         return tuple(
@@ -69,7 +69,7 @@
         )
 
     def adopt(self, text):
-        self.tell(messages.TextAdopted(text))
+        self.tell(messages.ConfigUpdated(text))
 
     def gain(self, fencing):
         records = tuple(self.records.values())
@@ -77,7 +77,7 @@
 
     def replace_planner(self, text, fencing):
         self.planner = order_planner.OrderPlanner()
-        self.tell(messages.EnginesKnown(self.infos()))
+        self.tell(messages.UpstreamsUpdated(self.infos()))
         self.adopt(text)
         self.gain(fencing)
 
@@ -96,7 +96,7 @@
                     request.version,
                 )
                 self.tell(messages.OrderAnswered(upstream))
-            case messages.RolloutChanged(record):
+            case messages.SaveRollout(record):
                 self.records[record.service] = record
 
     def run(self, seconds, requests=True):
@@ -112,10 +112,10 @@
                 self.version[name] = version
                 del self.loading[name]
         for name in self.version:
-            self.tell(messages.StateRead(name, self.held(name)))
+            self.tell(messages.EngineStateRead(name, self.held(name)))
             if requests and name not in self.loading:
                 bad = self.version[name] == self.bad_version
-                self.tell(messages.RequestSeen(SERVICE, name, bad))
+                self.tell(messages.RequestEnded(SERVICE, name, bad))
         self.tell(messages.Tick())
         serving = [v for n, v in self.version.items() if v]
         if len(serving) == len(self.version):
@@ -125,8 +125,8 @@
         version = self.version[name]
         held = [upstream_messages.HeldModel(MODEL, version)] if version else []
         loading = [
-            orders.Loading(MODEL, version)
+            orders.LoadingModel(MODEL, version)
             for loading, (_, version) in self.loading.items()
             if loading == name
         ]
-        return orders.HeldState(tuple(held), tuple(loading))
+        return orders.EngineState(tuple(held), tuple(loading))
--- a/tests/peer_world.py
+++ b/tests/peer_world.py
@@ -113,7 +113,7 @@
         return self.roster.zone_members(self.world.loop.now_ms())
 
     def broadcast(self, message):
-        self.send_far(list(self.roster.links.zone), message)
+        self.send_far(list(self.roster.links.zone_peers), message)
 
     def send_far(self, vms, message):
         if self.alive:
@@ -170,6 +170,6 @@
         """Return the live VMs that are linked to other zones, by zone."""
         found = collections.defaultdict(list)
         for vm, peer in self.vms.items():
-            if peer.alive and peer.roster.links.far:
+            if peer.alive and peer.roster.links.remote_gateways:
                 found[peer.zone].append(vm)
         return found
--- a/tests/steps/coordination_adoption.py
+++ b/tests/steps/coordination_adoption.py
@@ -9,7 +9,7 @@
 from eelgrassknot.coordination import adoption
 from eelgrassknot.coordination import config
 from eelgrassknot.coordination import rows
-from tests.coordination import machines
+from tests.coordination import state_machines
 
 DOCUMENT = (
     '{"deployment": "d", "regions": [], "services": [], "client_accounts": []}'
@@ -19,7 +19,7 @@
 
 
 def record(version):
-    digest = config.digest_of(DOCUMENT)
+    digest = config.document_digest(DOCUMENT)
     return rows.ConfigRecord(version, DOCUMENT, 'ana', f'c{version}', digest)
 
 
@@ -54,7 +54,7 @@
         self.highest_heard = 0
 
     def _tell(self, event):
-        if isinstance(event, adoption.VersionHeard):
+        if isinstance(event, adoption.PeerVersionReceived):
             self.highest_heard = max(self.highest_heard, event.version)
         for action in self.adoption.handle(event, self.now_ms):
             match action:
@@ -80,7 +80,7 @@
     @stateful.rule(peer=strategies.sampled_from(PEERS))
     def peer_adopts_and_tells(self, peer):
         self.at_peer[peer] = self.accepted
-        heard = adoption.VersionHeard(peer, self.accepted)
+        heard = adoption.PeerVersionReceived(peer, self.accepted)
         self.messages.append(heard)
 
     @stateful.rule(step_ms=strategies.sampled_from((100, 2_000, 4_000)))
@@ -137,12 +137,12 @@
 
 @behave.then('its version in force never falls and it settles on the newest')
 def never_falls(context):
-    machines.run(context.machine)
+    state_machines.run(context.machine)
 
 
 @behave.then('the check on adoption fails')
 def adoption_check_fails(context):
-    machines.assert_caught(context.machine)
+    state_machines.assert_caught(context.machine)
 
 
 def tell(context, event, after_ms=0.0):
@@ -166,12 +166,12 @@
 
 @behave.when('a peer tells version {version:d}')
 def peer_tells(context, version):
-    tell(context, adoption.VersionHeard('p', version))
+    tell(context, adoption.PeerVersionReceived('p', version))
 
 
 @behave.when('another peer tells version {version:d}')
 def other_tells(context, version):
-    tell(context, adoption.VersionHeard('q', version))
+    tell(context, adoption.PeerVersionReceived('q', version))
 
 
 @behave.then('it asks that peer for the text')
@@ -199,7 +199,7 @@
 @behave.then('it is not ready and has counted {count:d} corrupt text')
 def counted_corrupt(context, count):
     assert context.adoption.not_ready_reason() is not None
-    assert context.adoption.corrupt == count
+    assert context.adoption.corrupt_count == count
 
 
 @behave.when('the peer does not answer for {silent_ms:d} ms')
@@ -215,4 +215,6 @@
 
 @behave.then('the other peer is behind')
 def other_behind(context):
-    assert context.adoption.behind() == {'q': 3}, context.adoption.behind()
+    assert context.adoption.outdated_peers() == {'q': 3}, (
+        context.adoption.outdated_peers()
+    )
--- a/tests/steps/coordination_config.py
+++ b/tests/steps/coordination_config.py
@@ -9,8 +9,8 @@
 from eelgrassknot.coordination import rows
 from eelgrassknot.coordination import text_diff
 from eelgrassknot import exceptions
-from tests.coordination import machines
 from tests.coordination import memory_table
+from tests.coordination import state_machines
 
 OPERATORS = strategies.integers(0, 2)
 FATES = ('answered', 'lost', 'late', 'down')
@@ -19,10 +19,10 @@
 class TrustsAbsence(config.Acceptance):
     """Takes an absent row for proof that the write will never land."""
 
-    def _judge(self, record):
+    def _resolve_outcome(self, record):
         if record is None:
             return config.Finish(exceptions.ConfigConflictError('a', 'b'))
-        return super()._judge(record)
+        return super()._resolve_outcome(record)
 
 
 class Unconditional(config.Acceptance):
@@ -30,7 +30,7 @@
 
     def _transaction(self, current, row_version):
         write = super()._transaction(current, row_version)
-        return config.WriteText((), write.writes)
+        return config.WriteConfig((), write.writes)
 
 
 class RacingOperators(stateful.RuleBasedStateMachine):
@@ -73,7 +73,7 @@
 
     def _perform(self, change, action, fate):
         lost = config.WriteFailed(exceptions.UnknownOutcomeError('l', 'r'))
-        if isinstance(action, config.WriteText):
+        if isinstance(action, config.WriteConfig):
             write = (change, action.conditions, action.writes)
             if fate == 'late':
                 self.late.append(write)
@@ -143,12 +143,12 @@
 
 @behave.then('no accepted text is lost and no refused text is in force')
 def holds(context):
-    machines.run(context.machine)
+    state_machines.run(context.machine)
 
 
 @behave.then('the check on accepted texts fails')
 def check_fails(context):
-    machines.assert_caught(context.machine)
+    state_machines.assert_caught(context.machine)
 
 
 @behave.given('a table that loses the answer to the next acceptance')
--- a/tests/steps/coordination_digest.py
+++ b/tests/steps/coordination_digest.py
@@ -7,8 +7,8 @@
 from eelgrassknot.coordination import links
 from eelgrassknot.coordination import membership
 from eelgrassknot.coordination import membership_messages
-from eelgrassknot.coordination import observation
 from eelgrassknot.coordination import peer_messages as messages
+from eelgrassknot.coordination import poll_schedule
 from eelgrassknot.coordination import reachability
 from eelgrassknot.coordination import rendezvous
 from eelgrassknot.coordination import vm_list
@@ -42,7 +42,7 @@
 
 def observers(context):
     return {
-        name: rendezvous.ranked(name, context.vms, observation.OBSERVERS)
+        name: rendezvous.ranked(name, context.vms, poll_schedule.OBSERVERS)
         for name in context.names
     }
 
@@ -69,7 +69,7 @@
     order = rendezvous.ranked('e1', ['x', 'y'])
     context.now_ms = 0.0
     context.first, context.second = (
-        observation.Observation(vm) for vm in order
+        poll_schedule.PollSchedule(vm) for vm in order
     )
     for each in (context.first, context.second):
         each.assign(['e1'], ['x', 'y'], 0.0)
@@ -80,8 +80,8 @@
     for _ in range(40):
         context.now_ms += 250.0
         assert context.first.due(context.now_ms) == ['e1']
-        context.first.answered('e1')
-        context.second.heard('e1', context.now_ms)
+        context.first.record_poll_end('e1')
+        context.second.record_peer_report('e1', context.now_ms)
         assert context.second.due(context.now_ms) == []
 
 
@@ -139,14 +139,14 @@
     context.info = info(name)
     context.key = digest.upstream_key(context.info)
     context.digest = digest.Digest('zone')
-    context.digest.know([context.info])
-    context.digest.observed(load(context.key, 200), 0.0)
+    context.digest.set_upstreams([context.info])
+    context.digest.record_own_load(load(context.key, 200), 0.0)
 
 
 @behave.when('a peer\'s load of "{name}" at 100 ms arrives')
 @behave.when('a peer\'s load of the earlier "{name}" arrives')
 def late_load(context, name):
-    assert not context.digest.told(load(context.key, 100), 1.0)
+    assert not context.digest.record_peer_load(load(context.key, 100), 1.0)
 
 
 @behave.then('the load of "{name}" is still that of 200 ms')
@@ -156,7 +156,7 @@
 
 @behave.when('"{name}" gets another address')
 def other_address(context, name):
-    context.digest.know([info(name, '127.0.0.1:2')])
+    context.digest.set_upstreams([info(name, '127.0.0.1:2')])
 
 
 @behave.then('no load of "{name}" is known')
@@ -167,7 +167,7 @@
 @behave.given('a digest with the demand of account "{account}"')
 def given_demand(context, account):
     context.digest = digest.Digest('zone')
-    context.digest.announce({}, {account: 2.5})
+    context.digest.update_dispatch_state({}, {account: 2.5})
     told = context.digest.take(1_000, 0.0).demands
     assert [d.milli_requests_per_second for d in told] == [2_500]
 
@@ -176,7 +176,7 @@
 def demand_ended(context):
     context.told = []
     for step in range(1, 5):
-        context.digest.announce({}, {})
+        context.digest.update_dispatch_state({}, {})
         context.told += context.digest.take(1_000, step * 250.0).demands
 
 
@@ -197,7 +197,7 @@
 
 @behave.when('"{name}" says that it leaves')
 def says_it_leaves(context, name):
-    context.digest.observed(load(context.key, 300, leaving=True), 2.0)
+    context.digest.record_own_load(load(context.key, 300, leaving=True), 2.0)
 
 
 @behave.then('the sum of the zone for "{service}" names it as leaving')
@@ -209,9 +209,11 @@
 @behave.given('an upstream that "{vm}" cannot reach')
 def given_unreachable(context, vm):
     context.reachability = reachability.Reachability()
-    told = [context.reachability.polled('e1', False) for _ in range(3)]
+    told = [context.reachability.record_poll('e1', False) for _ in range(3)]
     assert told == [True, True, False], told
-    context.reachable = context.reachability.heard('e1', vm, False, 0.0)
+    context.reachable = context.reachability.record_report(
+        'e1', vm, False, 0.0
+    )
 
 
 @behave.then('it counts as unreachable')
@@ -221,13 +223,13 @@
 
 @behave.when('"{vm}" says that it reaches it')
 def reaches(context, vm):
-    context.reachable = context.reachability.heard('e1', vm, True, 1.0)
+    context.reachable = context.reachability.record_report('e1', vm, True, 1.0)
 
 
 @behave.then('it counts as reachable')
 def is_reachable(context):
     assert context.reachable
-    assert context.reachability.heard('e1', 'a', False, 2.0)
+    assert context.reachability.record_report('e1', 'a', False, 2.0)
 
 
 @behave.given('a VM that knows {zones:d} zones of {size:d} entry VMs')
@@ -257,13 +259,13 @@
         known = membership.Membership(vm, 'z0')
         known.handle(membership_messages.ListRead(context.entries), 0.0)
         for other in set(names) - {vm}:
-            heard = membership_messages.HeartbeatHeard(
+            heard = membership_messages.HeartbeatReceived(
                 other, other, 1, 1, False
             )
             known.handle(heard, 0.0)
         planned = links.plan_links(known)
-        assert sorted(planned.zone) == sorted(set(names) - {vm})
-        counts.append(len(planned.far))
+        assert sorted(planned.zone_peers) == sorted(set(names) - {vm})
+        counts.append(len(planned.remote_gateways))
     assert sorted(counts) == [0, 0, far, far], counts
 
 
--- a/tests/steps/coordination_lease.py
+++ b/tests/steps/coordination_lease.py
@@ -6,7 +6,7 @@
 
 from eelgrassknot.coordination import lease as leases
 from eelgrassknot.coordination import lease_messages as messages
-from tests.coordination import machines
+from tests.coordination import state_machines
 
 VMS = ('a', 'b', 'c')
 VM = strategies.sampled_from(VMS)
@@ -127,7 +127,7 @@
         able = [
             vm
             for vm, lease in self.leases.items()
-            if lease.may_act(self.now_ms)
+            if lease.is_valid(self.now_ms)
         ]
         assert len(able) <= 1, f'{able} may all order'
 
@@ -164,12 +164,12 @@
 
 @behave.then('no two of them may order at the same time')
 def one_orders(context):
-    machines.run(context.machine, 200)
+    state_machines.run(context.machine, 200)
 
 
 @behave.then('the check on leases fails')
 def lease_check_fails(context):
-    machines.assert_caught(context.machine)
+    state_machines.assert_caught(context.machine)
 
 
 def step(context, name, event):
@@ -189,7 +189,7 @@
     context.leases = {name: make(name) for name in (holder, watcher)}
     step(context, holder, messages.Tick())
     step(context, watcher, messages.Tick())
-    assert context.leases[holder].may_act(0.0)
+    assert context.leases[holder].is_valid(0.0)
 
 
 @behave.when('"{name}" releases the lease')
--- a/tests/steps/coordination_membership.py
+++ b/tests/steps/coordination_membership.py
@@ -6,12 +6,12 @@
 from hypothesis import stateful
 from hypothesis import strategies
 
+from eelgrassknot.coordination import failure_detector
 from eelgrassknot.coordination import membership
 from eelgrassknot.coordination import membership_messages
-from eelgrassknot.coordination import suspicion
 from eelgrassknot import states
 from eelgrassknot.storage import base
-from tests.coordination import machines
+from tests.coordination import state_machines
 
 GONE = membership.PeerState.GONE
 LIVE = membership.PeerState.LIVE
@@ -20,12 +20,12 @@
 class Forgetful(membership.Membership):
     """Believes the last heartbeat alone."""
 
-    def _heard(self, event, now_ms):
+    def _on_heartbeat(self, event, now_ms):
         peer = self._peer(event.vm)
         if peer.incarnation != event.incarnation:
             self._start_incarnation(peer, event)
         peer.leaving = event.leaving
-        peer.detector.heard(now_ms)
+        peer.detector.record_heartbeat(now_ms)
 
 
 class Gossip(stateful.RuleBasedStateMachine):
@@ -48,7 +48,7 @@
     def heartbeat(self, vm):
         self.sequence += 1
         self.messages.append(
-            membership_messages.HeartbeatHeard(
+            membership_messages.HeartbeatReceived(
                 vm,
                 f'{vm}{self.runs[vm]}',
                 self.runs[vm],
@@ -115,18 +115,18 @@
 
 @behave.then('no leaver counts as live again and no replaced one returns')
 def leavers_stay(context):
-    machines.run(context.machine)
+    state_machines.run(context.machine)
 
 
 @behave.then('the check on membership fails')
 def membership_check_fails(context):
-    machines.assert_caught(context.machine)
+    state_machines.assert_caught(context.machine)
 
 
 def heartbeat(context, vm, incarnation=None, leaving=False, unheard=()):
     context.sequence += 1
     context.membership.handle(
-        membership_messages.HeartbeatHeard(
+        membership_messages.HeartbeatReceived(
             vm,
             incarnation or f'{vm}1',
             context.sequence,
@@ -154,7 +154,7 @@
     context.now_ms = 0.0
     context.sequence = 0
     run(context, 10_000, 'bc')
-    assert context.membership.live() == ['b', 'c']
+    assert context.membership.live_peers() == ['b', 'c']
 
 
 @behave.when('"{vm}" falls silent for {silent_ms:d} ms')
@@ -194,7 +194,7 @@
 @behave.then('"a" suspects nobody')
 def suspects_nobody(context):
     context.membership.handle(membership_messages.Tick(), context.now_ms)
-    assert context.membership.live() == ['b', 'c']
+    assert context.membership.live_peers() == ['b', 'c']
 
 
 @behave.given(
@@ -203,14 +203,14 @@
 )
 def given_two_rhythms(context, gap_ms, low_ms, high_ms):
     generator = random.Random(3)
-    context.regular = suspicion.Suspicion(gap_ms)
-    context.jittery = suspicion.Suspicion(gap_ms)
+    context.regular = failure_detector.PhiAccrualDetector(gap_ms)
+    context.jittery = failure_detector.PhiAccrualDetector(gap_ms)
     regular_ms = jittery_ms = 0.0
     for _ in range(60):
         regular_ms += gap_ms
         jittery_ms += generator.uniform(low_ms, high_ms)
-        context.regular.heard(regular_ms)
-        context.jittery.heard(jittery_ms)
+        context.regular.record_heartbeat(regular_ms)
+        context.jittery.record_heartbeat(jittery_ms)
 
 
 @behave.then('a silence of {silent_ms:d} ms is suspect for the former alone')
@@ -225,13 +225,13 @@
 @behave.when('"{vm}" leaves and comes back as another incarnation')
 def comes_back(context, vm):
     heartbeat(context, vm, leaving=True)
-    assert context.membership.live() == ['b']
+    assert context.membership.live_peers() == ['b']
     heartbeat(context, vm, f'{vm}2')
 
 
 @behave.then('"a" counts "{vm}" as live and the former incarnation as ended')
 def counts_live(context, vm):
-    assert vm in context.membership.live()
+    assert vm in context.membership.live_peers()
     assert context.membership.is_gone(vm, f'{vm}1') is True
     assert context.membership.is_gone(vm, f'{vm}2') is False
 
@@ -255,16 +255,16 @@
 def knows(context, dead, new):
     listed = context.membership.in_state(membership.PeerState.LISTED)
     assert listed == [dead], listed
-    assert new in context.membership.live()
+    assert new in context.membership.live_peers()
 
 
 @behave.when('"{vm}" introduces itself and no list names it')
 def introduces_itself(context, vm):
-    place = membership_messages.PeerAddress(vm, '127.0.0.1:9', 'zone', 'r')
-    context.membership.handle(place, context.now_ms)
+    location = membership_messages.PeerLocation(vm, '127.0.0.1:9', 'zone', 'r')
+    context.membership.handle(location, context.now_ms)
     run(context, 2_000, 'bc')
 
 
 @behave.then('"a" knows the address of "{vm}"')
 def knows_address(context, vm):
-    assert context.membership.peers[vm].place.address == '127.0.0.1:9'
+    assert context.membership.peers[vm].location.address == '127.0.0.1:9'
--- a/tests/steps/coordination_order_processes.py
+++ b/tests/steps/coordination_order_processes.py
@@ -50,10 +50,10 @@
 
 def _hold(context, version):
     states = [
-        _ask(address, '/orders/state', orders.HeldState)
+        _ask(address, '/orders/state', orders.EngineState)
         for address in context.engines.values()
     ]
-    return all(state.held(MODEL).version == version for state in states)
+    return all(state.find_model(MODEL).version == version for state in states)
 
 
 def _holder(context, excluded=None):
--- a/tests/steps/coordination_upstream_membership.py
+++ b/tests/steps/coordination_upstream_membership.py
@@ -34,7 +34,7 @@
 @behave.when('the engine or a peer says that "{upstream}" leaves')
 @behave.when('the former "{upstream}" is said to leave by a late message')
 def says_leaving(context, upstream):
-    heard = upstreams.LeavingHeard(upstream, '127.0.0.1:1')
+    heard = upstreams.LeavingReported(upstream, '127.0.0.1:1')
     context.membership.handle(heard)
 
 
@@ -55,22 +55,22 @@
 
 @behave.when('"{upstream}" cannot be reached')
 def unreachable(context, upstream):
-    context.membership.handle(upstreams.Reachable(upstream, False))
+    context.membership.handle(upstreams.ReachabilityChanged(upstream, False))
 
 
 @behave.when('"{upstream}" can be reached again')
 def reachable(context, upstream):
-    context.membership.handle(upstreams.Reachable(upstream, True))
+    context.membership.handle(upstreams.ReachabilityChanged(upstream, True))
 
 
 @behave.when('the text withholds "{upstream}"')
 def withheld(context, upstream):
-    context.membership.handle(upstreams.Withheld(frozenset([upstream])))
+    context.membership.handle(upstreams.WithheldUpdated(frozenset([upstream])))
 
 
 @behave.when('the text withholds nothing')
 def nothing_withheld(context):
-    context.membership.handle(upstreams.Withheld(frozenset()))
+    context.membership.handle(upstreams.WithheldUpdated(frozenset()))
 
 
 @behave.then('"{upstream}" is leaving')
--- a/tests/steps/forwarding_peers.py
+++ b/tests/steps/forwarding_peers.py
@@ -80,8 +80,8 @@
 @behave.then('each VM is linked to {count:d} others and is no gateway')
 def all_linked(context, count):
     for peer in context.world.vms.values():
-        assert len(peer.roster.links.zone) == count
-        assert not peer.roster.links.far
+        assert len(peer.roster.links.zone_peers) == count
+        assert not peer.roster.links.remote_gateways
 
 
 @behave.then(
@@ -94,13 +94,13 @@
     for vms in gateways.values():
         assert len(vms) == count, vms
         for vm in vms:
-            assert len(world.vms[vm].roster.links.far) == far
+            assert len(world.vms[vm].roster.links.remote_gateways) == far
 
 
 @behave.then('no other VM is linked to more than {count:d}')
 def others_linked(context, count):
     for peer in context.world.vms.values():
-        if not peer.roster.links.far:
+        if not peer.roster.links.remote_gateways:
             assert len(peer.roster.links.addresses) <= count
 
 
