--- a/eelgrassknot/cli/commands/audit.py
+++ b/eelgrassknot/cli/commands/audit.py
@@ -52,7 +52,7 @@
 def _read(
     table: base.Table, wanted: audit_reader.AuditFilter
 ) -> list[rows.AuditRecord]:
-    match audit_reader.read(table, wanted):
+    match audit_reader.read_records(table, wanted):
         case result.Err(error):
             console.fail(error)
         case result.Ok(found):
@@ -64,7 +64,7 @@
         console.print_json(found)
         return
     for record in found:
-        for line in audit_reader.lines(record):
+        for line in audit_reader.format_record(record):
             typer.echo(line)
     if not found:
         typer.echo('nothing was recorded')
--- a/eelgrassknot/cli/commands/orders.py
+++ b/eelgrassknot/cli/commands/orders.py
@@ -12,14 +12,14 @@
 from eelgrassknot.reporting import rendering
 from eelgrassknot.storage import base
 
-__all__ = ['OrderBook', 'orders']
+__all__ = ['OrdersOverview', 'orders']
 
 PAGE_ROWS = 500
 
 Record = typing.TypeVar('Record')
 
 
-class OrderBook(msgspec.Struct, frozen=True):
+class OrdersOverview(msgspec.Struct, frozen=True):
     """Who may order engines, and what was ordered.
 
     Attributes:
@@ -41,18 +41,18 @@
 ) -> None:
     """Show who may order engines, the rollouts, and the last orders."""
     table = console.platform(context).table
-    book = OrderBook(
-        _records(table, rows.LEASE_TABLE, rows.LeaseRecord),
+    book = OrdersOverview(
+        _read_records(table, rows.LEASE_TABLE, rows.LeaseRecord),
         [
             row
-            for row in _records(
+            for row in _read_records(
                 table, order_rows.ROLLOUTS_TABLE, order_rows.RolloutRow
             ).values()
             if service in (None, row.record.service)
         ],
         [
             row
-            for row in _records(
+            for row in _read_records(
                 table, order_rows.ORDERS_TABLE, order_rows.OrderRecord
             ).values()
             if service in (None, row.service)
@@ -64,7 +64,7 @@
         _print(book)
 
 
-def _records(
+def _read_records(
     table: base.Table, name: str, kind: type[Record]
 ) -> dict[str, Record]:
     found: dict[str, Record] = {}
@@ -75,13 +75,13 @@
                 console.fail(error)
             case result.Ok(page):
                 for row in page:
-                    found[row.key] = _decoded(row, kind)
+                    found[row.key] = _decode_row(row, kind)
         if len(page) < PAGE_ROWS:
             return found
         after = page[-1].key
 
 
-def _decoded(row: base.Row, kind: type[Record]) -> Record:
+def _decode_row(row: base.Row, kind: type[Record]) -> Record:
     match rows.decode(row.value, kind):
         case result.Err(error):
             console.fail(error)
@@ -89,7 +89,7 @@
             return record
 
 
-def _print(book: OrderBook) -> None:
+def _print(book: OrdersOverview) -> None:
     console.print_table(
         ('region', 'epoch', 'holder', 'incarnation'),
         [
@@ -125,7 +125,7 @@
     wanted = (row.order.model, row.order.version, row.order.adapter)
     named = ' '.join(part for part in wanted if part)
     return (
-        rendering.show_time(row.at_ms),
+        rendering.format_time(row.at_ms),
         row.service,
         row.upstream,
         f'{row.order.order.value} {named}',
--- a/eelgrassknot/cli/commands/status.py
+++ b/eelgrassknot/cli/commands/status.py
@@ -21,7 +21,7 @@
 TIMEOUT_MS = 2_000
 MAX_THREADS = 16
 # Hosts that mean "all addresses" to a listener, and nothing to a caller.
-ANY_HOSTS = ('0.0.0.0', '[::]', '::')
+WILDCARD_HOSTS = ('0.0.0.0', '[::]', '::')
 
 
 class StatusDocument(msgspec.Struct, frozen=True):
@@ -116,7 +116,7 @@
     if known is None:
         return f'{vm.address}:{vm.port}'
     host, port = vm_settings.split_address(known)
-    return f'{vm.address if host in ANY_HOSTS else host}:{port}'
+    return f'{vm.address if host in WILDCARD_HOSTS else host}:{port}'
 
 
 def _vm_status(vm: base.VmEntry, address: str, version: int) -> VmStatus:
@@ -126,7 +126,7 @@
         case result.Ok(http_client.HttpAnswer(status=200, body=body)):
             found = _read_document(body)
             if found is not None and found.vm == vm.vm:
-                return _answered(vm, found, body, version)
+                return _status_from_document(vm, found, body, version)
             reason = f'another process answered at {address}'
         case result.Ok(other):
             reason = f'status {other.status} from {address}'
@@ -142,7 +142,7 @@
         return None
 
 
-def _answered(
+def _status_from_document(
     vm: base.VmEntry, found: StatusDocument, body: bytes, version: int
 ) -> VmStatus:
     behind = max(0, version - found.config_version)
--- a/eelgrassknot/cli/console.py
+++ b/eelgrassknot/cli/console.py
@@ -24,7 +24,7 @@
 ]
 
 PLATFORM_VARIABLE = 'EELGRASSKNOT_PLATFORM'
-GAP = '  '
+COLUMN_SEPARATOR = '  '
 
 application = typer.Typer(
     no_args_is_help=True,
@@ -47,7 +47,7 @@
     UNREACHABLE_OR_UNKNOWN = 3
 
 
-_UNCLEAR = (
+_UNKNOWN_OUTCOME_ERRORS = (
     exceptions.PlatformUnavailableError,
     exceptions.UnknownOutcomeError,
     exceptions.MalformedAnswerError,
@@ -92,7 +92,7 @@
 def fail(error: exceptions.EelgrassknotError) -> typing.NoReturn:
     """Print an error with its remedy, and end with its exit code."""
     typer.echo(f'error: {error}', err=True)
-    is_unclear = isinstance(error, _UNCLEAR)
+    is_unclear = isinstance(error, _UNKNOWN_OUTCOME_ERRORS)
     code = ExitCode.UNREACHABLE_OR_UNKNOWN if is_unclear else ExitCode.REFUSED
     raise typer.Exit(code)
 
@@ -117,7 +117,7 @@
     widths = [max(map(len, cells)) for cells in zip(*grid)]
     for row in grid:
         cells = [cell.ljust(width) for cell, width in zip(row, widths)]
-        typer.echo(GAP.join(cells).rstrip())
+        typer.echo(COLUMN_SEPARATOR.join(cells).rstrip())
 
 
 def close_output() -> None:
--- a/eelgrassknot/reporting/audit.py
+++ b/eelgrassknot/reporting/audit.py
@@ -10,7 +10,7 @@
 from eelgrassknot.reporting import rendering
 from eelgrassknot.storage import base
 
-__all__ = ['AuditFilter', 'lines', 'read']
+__all__ = ['AuditFilter', 'format_record', 'read_records']
 
 PAGE_ROWS = 500
 MAX_VALUE_CHARACTERS = 100
@@ -40,8 +40,8 @@
         )
 
 
-def read(
-    table: base.Table, wanted: AuditFilter
+def read_records(
+    table: base.Table, audit_filter: AuditFilter
 ) -> result.Result[list[rows.AuditRecord], base.PlatformError]:
     """Return the wanted rows, the earliest first.
 
@@ -50,8 +50,8 @@
         wanted: Which rows.
     """
     found = []
-    after = rows.audit_key(max(0, wanted.since_ms), '')
-    end = rows.audit_key(max(0, wanted.until_ms), '')
+    after = rows.audit_key(max(0, audit_filter.since_ms), '')
+    end = rows.audit_key(max(0, audit_filter.until_ms), '')
     while True:
         listed = table.list_rows(
             rows.AUDIT_TABLE, after=after, limit=PAGE_ROWS
@@ -63,18 +63,18 @@
             record = rows.decode(row.value, rows.AuditRecord)
             if isinstance(record, result.Err):
                 return record
-            if wanted.matches(record.ok_value):
+            if audit_filter.matches(record.ok_value):
                 found.append(record.ok_value)
         if len(page) < PAGE_ROWS:
             return result.Ok(found)
         after = page[-1].key
 
 
-def lines(record: rows.AuditRecord) -> collections.abc.Iterator[str]:
+def format_record(record: rows.AuditRecord) -> collections.abc.Iterator[str]:
     """Yield a row of the trail as lines for people."""
     services = ','.join(record.services) or 'all services'
     yield (
-        f'{rendering.show_time(record.at_ms)} {record.kind.value}'
+        f'{rendering.format_time(record.at_ms)} {record.kind.value}'
         f' by {record.author} ({services}): {record.summary}'
     )
     for change in record.changes:
--- a/eelgrassknot/reporting/explanation.py
+++ b/eelgrassknot/reporting/explanation.py
@@ -9,7 +9,7 @@
 
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S+)')
 _FINAL_EVENTS = frozenset(['call_ended', 'stream_ended', 'refused'])
-_CAUSES = {
+_CAUSE_BY_REASON = {
     'keys_out_of_date': (
         'the VM had not heard from the store or a peer for so long that a '
         'revoked key could not be ruled out; see store_lost'
@@ -111,11 +111,13 @@
     ]
     final = [line for line in own if line.pairs['event'] in _FINAL_EVENTS]
     reason = final[-1].pairs.get('reason', '') if final else ''
-    timeline = sorted([*own, *_first_each(around)], key=lambda each: each.time)
+    timeline = sorted(
+        [*own, *_deduplicate_changes(around)], key=lambda each: each.time
+    )
     return Explanation(request, reason, _cause(reason), tuple(timeline))
 
 
-def _first_each(lines: list[LogLine]) -> list[LogLine]:
+def _deduplicate_changes(lines: list[LogLine]) -> list[LogLine]:
     """Return the earliest line of each change, which all VMs log."""
     kept: dict[tuple[str | None, ...], LogLine] = {}
     for line in sorted(lines, key=lambda each: each.time):
@@ -130,4 +132,6 @@
         return 'it has not ended in these logs; see its last line'
     if reason.startswith('status_'):
         return f'the upstream itself answered {reason.removeprefix("status_")}'
-    return _CAUSES.get(reason, f'see the lines; the reason is {reason}')
+    return _CAUSE_BY_REASON.get(
+        reason, f'see the lines; the reason is {reason}'
+    )
--- a/eelgrassknot/reporting/reader.py
+++ b/eelgrassknot/reporting/reader.py
@@ -37,7 +37,7 @@
         case result.Err(error):
             return result.Err(error)
         case result.Ok(names):
-            found = coverage.select(names)
+            found = coverage.drop_contained(names)
     merger = merge.Merger(wanted)
     unreadable = []
     needed = [name for name in found if coverage.overlaps(name, wanted)]
@@ -107,7 +107,7 @@
                 case result.Err(error):
                     return result.Err(error)
                 case result.Ok(keys):
-                    names += map(object_names.parse, keys)
+                    names += map(object_names.parse_key, keys)
     return result.Ok([name for name in names if name is not None])
 
 
--- a/eelgrassknot/reporting/renderers/plots.py
+++ b/eelgrassknot/reporting/renderers/plots.py
@@ -9,13 +9,13 @@
 from eelgrassknot.reporting import messages
 from eelgrassknot.reporting import names
 
-__all__ = ['PLOTS', 'image']
+__all__ = ['PLOTS', 'render_figure']
 
 MAX_ACCOUNTS = 12
 # Bars below this share of the largest one would not be seen.
-LEAST_SHARE = 0.01
+MIN_SHARE = 0.01
 WIDTH_INCHES = 9.0
-LEAST_HEIGHT_INCHES = 2.2
+MIN_HEIGHT_INCHES = 2.2
 BAR_HEIGHT_INCHES = 0.36
 MARGIN_INCHES = 1.3
 MS_PER_SECOND = 1000.0
@@ -42,12 +42,12 @@
 OTHER_COLOUR = '#7f7f7f'
 
 # Not a wait: an upstream works on the request.
-WORK_PARTS = ('decode', 'upstream')
+WORK_PHASES = ('decode', 'upstream')
 
 Bars = list[tuple[str, dict[str, float]]]
 
 
-def image(drawing: figure.Figure, kind: str) -> bytes:
+def render_figure(drawing: figure.Figure, kind: str) -> bytes:
     """Return a drawing as a file.
 
     Args:
@@ -63,7 +63,7 @@
     return target.getvalue()
 
 
-def waits(report: messages.Report) -> list[figure.Figure]:
+def wait_times(report: messages.Report) -> list[figure.Figure]:
     """Draw for each service how long its requests waited, and for what.
 
     The time in which an upstream worked on them is left out.
@@ -73,12 +73,13 @@
     for service in sorted(services):
         rows = [row for row in report.operations if row.service == service]
         bars = [
-            (_label(row), _mean_waits(row)) for row in _largest(rows, _waited)
+            (_label(row), _mean_waits(row))
+            for row in _largest(rows, _total_wait)
         ]
         drawn += _stacked(
             bars,
-            [part.value for part in names.WaitPart],
-            _plain(f'Mean wait of a request to {service}, by cause'),
+            [part.value for part in names.Phase],
+            _escape_mathtext(f'Mean wait of a request to {service}, by cause'),
             'seconds',
         )
     return drawn
@@ -106,15 +107,15 @@
     axes.xaxis.set_major_locator(ticker.LogLocator(subs=(1, 2, 3, 5)))
     axes.xaxis.set_major_formatter('{x:g}')
     axes.xaxis.set_minor_formatter(ticker.NullFormatter())
-    _finish(axes, [_label(row) for row in rows])
+    _format_axes(axes, [_label(row) for row in rows])
     return [drawing]
 
 
 def discarded_tokens(report: messages.Report) -> list[figure.Figure]:
     """Draw the tokens that were paid for twice or for nobody."""
     bars: Bars = []
-    for row in _largest(report.money, _wasted):
-        bars.append((_label(row), _wasted_parts(row)))
+    for row in _largest(report.money, _total_waste):
+        bars.append((_label(row), _waste_by_reason(row)))
     reasons = [reason.value for reason in names.DiscardReason]
     return _stacked(
         bars,
@@ -138,50 +139,50 @@
 
 
 PLOTS = {
-    'operations': (waits, token_gaps),
+    'operations': (wait_times, token_gaps),
     'money': (discarded_tokens, region_bytes),
 }
 
 
-def _mean_waits(row: messages.WaitRow) -> dict[str, float]:
+def _mean_waits(row: messages.OperationsRow) -> dict[str, float]:
     return {
         part.part: part.total_ms / row.requests / MS_PER_SECOND
         for part in row.parts
-        if part.part not in WORK_PARTS
+        if part.part not in WORK_PHASES
     }
 
 
-def _waited(row: messages.WaitRow) -> float:
+def _total_wait(row: messages.OperationsRow) -> float:
     return sum(_mean_waits(row).values())
 
 
-def _wasted_parts(row: messages.MoneyRow) -> dict[str, float]:
+def _waste_by_reason(row: messages.CostRow) -> dict[str, float]:
     parts = {**row.tokens_twice, **row.tokens_unreceived}
     if row.tokens_cut:
         parts['cut_short'] = row.tokens_cut
     return parts
 
 
-def _wasted(row: messages.MoneyRow) -> float:
-    return sum(_wasted_parts(row).values())
+def _total_waste(row: messages.CostRow) -> float:
+    return sum(_waste_by_reason(row).values())
 
 
 def _largest(rows, size) -> list:
     """Return the rows with the largest sizes, the services first."""
-    least = LEAST_SHARE * max(map(size, rows), default=0)
+    least = MIN_SHARE * max(map(size, rows), default=0)
     kept = [row for row in rows if size(row) > least]
     kept.sort(key=lambda row: (row.client_account != '', -size(row)))
     services = sum(row.client_account == '' for row in kept)
     return kept[: services + MAX_ACCOUNTS]
 
 
-def _label(row: messages.WaitRow | messages.MoneyRow) -> str:
+def _label(row: messages.OperationsRow | messages.CostRow) -> str:
     service = row.service or 'no service'
     account = row.client_account or 'all accounts'
-    return _plain(f'{service}, {account}')
+    return _escape_mathtext(f'{service}, {account}')
 
 
-def _plain(text: str) -> str:
+def _escape_mathtext(text: str) -> str:
     """Return a text whose dollars do not begin a formula."""
     return text.replace('$', r'\$')
 
@@ -189,7 +190,7 @@
 def _figure(
     bars: int, title: str, unit: str
 ) -> tuple[figure.Figure, 'matplotlib.axes.Axes']:
-    height = max(LEAST_HEIGHT_INCHES, MARGIN_INCHES + bars * BAR_HEIGHT_INCHES)
+    height = max(MIN_HEIGHT_INCHES, MARGIN_INCHES + bars * BAR_HEIGHT_INCHES)
     drawing = figure.Figure(
         figsize=(WIDTH_INCHES, height), layout='constrained'
     )
@@ -220,11 +221,11 @@
             label=name.replace('_', ' '),
         )
         reached = [a + b for a, b in zip(reached, values)]
-    _finish(axes, [label for label, _ in bars])
+    _format_axes(axes, [label for label, _ in bars])
     return [drawing]
 
 
-def _finish(axes: 'matplotlib.axes.Axes', labels: list[str]) -> None:
+def _format_axes(axes: 'matplotlib.axes.Axes', labels: list[str]) -> None:
     axes.set_yticks(range(len(labels)), labels)
     axes.invert_yaxis()
     axes.spines[['top', 'right']].set_visible(False)
--- a/eelgrassknot/reporting/rows.py
+++ b/eelgrassknot/reporting/rows.py
@@ -78,7 +78,7 @@
             self.sketches[name] = sketch.Sketch()
         return self.sketches[name]
 
-    def add_part(self, part: names.WaitPart, spent_ms: float) -> None:
+    def add_phase(self, part: names.Phase, spent_ms: float) -> None:
         """Add time that a request spent in a part."""
         if spent_ms:
             name = part.value
--- a/tests/steps/reporting_coverage.py
+++ b/tests/steps/reporting_coverage.py
@@ -23,7 +23,7 @@
 MS_PER_DAY = 86_400_000
 
 
-class MemoryObjects:
+class InMemoryObjectStore:
     """Object store in memory that can be down or lose its answers."""
 
     def __init__(self):
@@ -89,7 +89,7 @@
 
 @behave.given('an object store and a VM that writes each 60 s')
 def given_store(context):
-    context.objects = MemoryObjects()
+    context.objects = InMemoryObjectStore()
     context.clock = clocks.ManualClock()
     start_vm(context, 'first')
 
@@ -148,7 +148,7 @@
     (key,) = [
         key
         for key in context.objects.bodies
-        if object_names.parse(key).first_sequence == number
+        if object_names.parse_key(key).first_sequence == number
     ]
     return key
 
@@ -278,15 +278,15 @@
 )
 def given_traffic(context, region, first, first_region, second, second_region):
     context.traffic = control_traffic.ControlTraffic(region)
-    context.traffic.learn(first, first_region)
-    context.traffic.learn(second, second_region)
+    context.traffic.set_region(first, first_region)
+    context.traffic.set_region(second, second_region)
 
 
 @behave.then('what crossed regions grows as follows')
 def crossed_grows(context):
     for row in context.table:
         context.sent = {vm: int(row[vm]) for vm in row.headings[:-1]}
-        crossed = context.traffic.crossed(context.sent)
+        crossed = context.traffic.take_cross_region_bytes(context.sent)
         assert crossed == int(row['crossed']), (row, crossed)
 
 
@@ -294,5 +294,5 @@
     'once "{vm}" is known in "{region}" its {count:d} bytes are counted'
 )
 def stranger_counted(context, vm, region, count):
-    context.traffic.learn(vm, region)
-    assert context.traffic.crossed(context.sent) == count
+    context.traffic.set_region(vm, region)
+    assert context.traffic.take_cross_region_bytes(context.sent) == count
--- a/tests/steps/reporting_report.py
+++ b/tests/steps/reporting_report.py
@@ -34,7 +34,7 @@
     return merger.report(())
 
 
-def whole(rows, service='shop-assistant', account=''):
+def find_row(rows, service='shop-assistant', account=''):
     (found,) = [
         row
         for row in rows
@@ -96,7 +96,7 @@
 
 @behave.then('the report shows {spent_ms:d} ms as "{part}"')
 def shows_part(context, spent_ms, part):
-    row = whole(report_of(context.recorders).operations)
+    row = find_row(report_of(context.recorders).operations)
     assert {p.part: p.total_ms for p in row.parts}[part] == spent_ms
 
 
@@ -158,7 +158,7 @@
 
 @behave.then('the money reading says')
 def money_says(context):
-    context.money = whole(report_of(context.recorders).money)
+    context.money = find_row(report_of(context.recorders).money)
     found = {
         'tokens_delivered': context.money.tokens_delivered,
         'twice': sum(context.money.tokens_twice.values()),
@@ -302,7 +302,7 @@
     ' and "{main}" as the main reason'
 )
 def gives_reasons(context, reason, count, main):
-    row = whole(context.report.operations)
+    row = find_row(context.report.operations)
     assert row.reasons[reason] == count and 'stop' not in row.reasons
     table = rendering.operations_table(context.report)
     assert [cells[-1] for cells in table.rows] == [main, main]
@@ -313,4 +313,4 @@
     table = rendering.operations_table(context.report)
     assert 'gap p99' not in table.columns and 'decode s' not in table.columns
     assert 'entry_queue s' in table.columns
-    assert rendering.money_table(context.report).rows == ()
+    assert rendering.cost_table(context.report).rows == ()
