--- a/eelgrassknot/reporting/audit.py
+++ b/eelgrassknot/reporting/audit.py
@@ -1,4 +1,4 @@
-"""Reads the audit trail and shows it to people."""
+"""Reading and formatting of the audit trail."""
 
 import collections.abc
 import json
@@ -17,13 +17,13 @@
 
 
 class AuditFilter(msgspec.Struct, frozen=True):
-    """Which rows of the trail are wanted.
+    """Selection of audit records.
 
     Attributes:
-        since_ms: Wall-clock time from which on.
-        until_ms: Wall-clock time before which.
-        author: Only by this person or VM, or None for all.
-        service: Only what concerns this service, or None for all.
+        since_ms: Start of the time range (inclusive), wall clock.
+        until_ms: End of the time range (exclusive), wall clock.
+        author: Person or VM that made the change, or None for any.
+        service: Service that the change affects, or None for any.
     """
 
     since_ms: int
@@ -32,8 +32,8 @@
     service: str | None = None
 
     def matches(self, record: rows.AuditRecord) -> bool:
-        """Return whether a row is wanted; its time is."""
-        # A row that names no service concerns all of them.
+        """Return whether a record matches, apart from its time."""
+        # A record without services applies to all of them.
         concerned = not record.services or self.service in record.services
         return self.author in (None, record.author) and (
             self.service is None or concerned
@@ -43,11 +43,11 @@
 def read_records(
     table: base.Table, audit_filter: AuditFilter
 ) -> result.Result[list[rows.AuditRecord], base.PlatformError]:
-    """Return the wanted rows, the earliest first.
+    """Return the matching records in chronological order.
 
     Args:
-        table: The platform's table.
-        wanted: Which rows.
+        table: Table of the platform.
+        audit_filter: Records to select.
     """
     found = []
     after = rows.audit_key(max(0, audit_filter.since_ms), '')
@@ -71,7 +71,7 @@
 
 
 def format_record(record: rows.AuditRecord) -> collections.abc.Iterator[str]:
-    """Yield a row of the trail as lines for people."""
+    """Yield the lines of text that describe an audit record."""
     services = ','.join(record.services) or 'all services'
     yield (
         f'{rendering.format_time(record.at_ms)} {record.kind.value}'
--- a/eelgrassknot/reporting/explanation.py
+++ b/eelgrassknot/reporting/explanation.py
@@ -1,4 +1,4 @@
-"""What became of one request, from the log lines of all entry VMs."""
+"""Reconstruction of a request's history from the logs of entry VMs."""
 
 import collections.abc
 import dataclasses
@@ -11,25 +11,27 @@
 _FINAL_EVENTS = frozenset(['call_ended', 'stream_ended', 'refused'])
 _CAUSE_BY_REASON = {
     'keys_out_of_date': (
-        'the VM had not heard from the store or a peer for so long that a '
-        'revoked key could not be ruled out; see store_lost'
+        'the VM had no contact with the store or a peer for so long that a '
+        'revoked key could not be excluded; see store_lost'
     ),
-    'unknown_key': 'no client account of the state in force has the key',
-    'no_route': 'no route of the state in force has the host and path',
-    'no_state': 'the VM had read no state yet; see store_lost',
-    'no_service': 'the route names a service that the state does not have',
-    'no_upstream': 'no upstream had room or was listed until the deadline',
-    'deadline': "the route's time-out or the caller's deadline passed",
+    'unknown_key': 'no client account in the current state has the key',
+    'no_route': 'no route in the current state matches the host and path',
+    'no_state': 'the VM had not read a state yet; see store_lost',
+    'no_service': 'the route names a service that the state does not define',
+    'no_upstream': 'no listed upstream had capacity before the deadline',
+    'deadline': "the route's timeout or the caller's deadline passed",
     'upstream_lost': (
-        'the upstream broke off and there was no copy to go on from; see '
-        'attempt_failed, run_copied and upstream_listed'
+        'the upstream connection broke and there was no copy to continue '
+        'from; see attempt_failed, run_copied and upstream_listed'
     ),
-    'upstream_unreachable': 'several upstreams refused it or were not reached',
-    'no_answer': 'the upstream ended the connection without an answer',
-    'event_missing': 'the upstream left out an event of the stream',
+    'upstream_unreachable': (
+        'several upstreams refused the request or were unreachable'
+    ),
+    'no_answer': 'the upstream closed the connection without an answer',
+    'event_missing': 'the upstream skipped an event of the stream',
     'grace_over': (
-        'the VM was told to end and its grace was over before the request '
-        'was; see draining'
+        'the VM was told to stop and its grace period ended before the '
+        'request did; see draining'
     ),
     'caller_left': 'the caller closed its connection',
     'complete': 'the stream was forwarded to its end',
@@ -38,12 +40,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class LogLine:
-    """One line of a log, taken apart.
+    """A parsed log line.
 
     Attributes:
-        time: When, as the line says.
-        pairs: All pairs of the line.
-        text: The line itself.
+        time: Timestamp as written in the line.
+        pairs: All other key-value pairs of the line.
+        text: The unparsed line.
     """
 
     time: str
@@ -53,13 +55,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Explanation:
-    """What became of one request.
+    """History of one request.
 
     Attributes:
-        request: Its identifier.
-        reason: The reason of its last line, or empty if there is none.
-        cause: The reason in a sentence.
-        timeline: Its lines and those of its upstreams, in order.
+        request: Identifier of the request.
+        reason: Reason given by its final log line, or empty if none.
+        cause: Description of the reason.
+        timeline: Log lines of the request and state changes of its
+            upstreams, in chronological order.
     """
 
     request: str
@@ -69,7 +72,7 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return a log line taken apart, or None if it is no log line.
+    """Return a parsed log line, or None if the text is not a log line.
 
     Example:
         >>> parse_line('time=1 level=INFO event=refused why="a b"').pairs
@@ -88,17 +91,17 @@
 
 
 def explain(request: str, lines: collections.abc.Iterable[str]) -> Explanation:
-    """Explain what became of a request.
+    """Return the history of a request and why it ended.
 
     Args:
-        request: Its identifier.
-        lines: Lines of the logs of all VMs, in any order.
+        request: Identifier of the request.
+        lines: Log lines of all VMs, in any order.
     """
     found = [line for line in map(parse_line, lines) if line is not None]
     own = [line for line in found if line.pairs.get('request') == request]
     own.sort(key=lambda line: line.time)
     if not own:
-        cause = 'no line names this request; it met no entry VM of these logs'
+        cause = 'no line names this request; it reached none of these VMs'
         return Explanation(request, '', cause, ())
     upstreams = {line.pairs.get('upstream') for line in own} - {None, 'None'}
     span = (own[0].time, own[-1].time)
@@ -118,7 +121,10 @@
 
 
 def _deduplicate_changes(lines: list[LogLine]) -> list[LogLine]:
-    """Return the earliest line of each change, which all VMs log."""
+    """Return the earliest line of each state change.
+
+    Every VM logs each change of an upstream.
+    """
     kept: dict[tuple[str | None, ...], LogLine] = {}
     for line in sorted(lines, key=lambda each: each.time):
         pairs = line.pairs
@@ -129,9 +135,9 @@
 
 def _cause(reason: str) -> str:
     if not reason:
-        return 'it has not ended in these logs; see its last line'
+        return 'these logs do not show its end; see its last line'
     if reason.startswith('status_'):
-        return f'the upstream itself answered {reason.removeprefix("status_")}'
+        return f'the upstream answered {reason.removeprefix("status_")}'
     return _CAUSE_BY_REASON.get(
-        reason, f'see the lines; the reason is {reason}'
+        reason, f'see the timeline; the reason is {reason}'
     )
--- a/eelgrassknot/reporting/reader.py
+++ b/eelgrassknot/reporting/reader.py
@@ -1,4 +1,4 @@
-"""Reads the parts of a report from the object store."""
+"""Reading of report parts from the object store."""
 
 import collections.abc
 import concurrent.futures
@@ -26,12 +26,12 @@
     wanted: messages.ReportFilter,
     expected_vms: collections.abc.Iterable[ids.VmId] = (),
 ) -> result.Result[messages.Report, storage_base.PlatformError]:
-    """Return the report on a range of time.
+    """Return the report on a time range.
 
     Args:
-        objects: The object store.
-        wanted: What the report is to be about.
-        expected_vms: VMs that are in the platform's list now.
+        objects: Object store of the platform.
+        wanted: Scope of the report.
+        expected_vms: Entry VMs currently listed by the platform.
     """
     match _list_names(objects, wanted):
         case result.Err(error):
@@ -56,14 +56,14 @@
 def read_operators_addresses(
     objects: storage_base.ObjectStore, now_ms: float
 ) -> dict[ids.VmId, str]:
-    """Return where the VMs that wrote lately listen for operators.
+    """Return the operators' addresses of VMs that wrote parts recently.
 
     Args:
-        objects: The object store.
+        objects: Object store of the platform.
         now_ms: Wall-clock time.
 
     Returns:
-        Addresses as ``IP:port``; a VM that cannot be read is left out.
+        Addresses as ``IP:port``, without VMs whose part is unreadable.
     """
     recent_ms = RECENT_HOURS * object_names.MS_PER_HOUR
     listed = _list_prefixes(
@@ -88,8 +88,8 @@
 def _list_names(
     objects: storage_base.ObjectStore, wanted: messages.ReportFilter
 ) -> result.Result[list[object_names.ObjectName], storage_base.PlatformError]:
-    # A part that was coalesced while the store was down may have begun
-    # long before the wanted time.
+    # A part that was coalesced during a store outage may have started
+    # long before the time range.
     lookback_ms = LOOKBACK_HOURS * object_names.MS_PER_HOUR
     prefixes = object_names.hour_prefixes(
         wanted.since_ms - lookback_ms, wanted.until_ms
--- a/eelgrassknot/reporting/renderers/plots.py
+++ b/eelgrassknot/reporting/renderers/plots.py
@@ -1,4 +1,4 @@
-"""Plots of the report, as SVG to stand inside a page."""
+"""Plots of the report as images for embedding."""
 
 import io
 
@@ -12,14 +12,14 @@
 __all__ = ['PLOTS', 'render_figure']
 
 MAX_ACCOUNTS = 12
-# Bars below this share of the largest one would not be seen.
+# Bars below this fraction of the largest one would not be visible.
 MIN_SHARE = 0.01
 WIDTH_INCHES = 9.0
 MIN_HEIGHT_INCHES = 2.2
 BAR_HEIGHT_INCHES = 0.36
 MARGIN_INCHES = 1.3
 MS_PER_SECOND = 1000.0
-# Qualitative colours that stay apart for colour-blind readers and in grey.
+# Qualitative colours, distinguishable with colour blindness and in greyscale.
 COLOURS = {
     'entry_queue': '#0072b2',
     'limit': '#56b4e9',
@@ -41,21 +41,21 @@
 }
 OTHER_COLOUR = '#7f7f7f'
 
-# Not a wait: an upstream works on the request.
+# Phases in which an upstream processes the request; they are not waits.
 WORK_PHASES = ('decode', 'upstream')
 
 Bars = list[tuple[str, dict[str, float]]]
 
 
 def render_figure(drawing: figure.Figure, kind: str) -> bytes:
-    """Return a drawing as a file.
+    """Return a figure encoded as an image file.
 
     Args:
-        drawing: What ``PLOTS`` returned.
+        drawing: Figure returned by one of ``PLOTS``.
         kind: ``svg`` or ``png``.
     """
     target = io.BytesIO()
-    # A fixed salt and no date make the same report the same bytes.
+    # A fixed salt and no date make the output reproducible.
     options = {'svg.hashsalt': 'eelgrassknot', 'svg.fonttype': 'none'}
     with matplotlib.style.context(options):
         metadata = {'Date': None} if kind == 'svg' else None
@@ -64,9 +64,9 @@
 
 
 def wait_times(report: messages.Report) -> list[figure.Figure]:
-    """Draw for each service how long its requests waited, and for what.
+    """Plot the mean waiting time by phase, one figure per service.
 
-    The time in which an upstream worked on them is left out.
+    Phases in which an upstream processes the request are omitted.
     """
     services = {row.service for row in report.operations}
     drawn = []
@@ -86,7 +86,7 @@
 
 
 def token_gaps(report: messages.Report) -> list[figure.Figure]:
-    """Draw the tail of the time between tokens for each account."""
+    """Plot quantiles of the time between tokens for each account."""
     rows = [row for row in report.operations if 'token_gap' in row.durations]
     rows = _largest(rows, lambda row: row.durations['token_gap'].p99_ms)
     if not rows:
@@ -112,7 +112,7 @@
 
 
 def discarded_tokens(report: messages.Report) -> list[figure.Figure]:
-    """Draw the tokens that were paid for twice or for nobody."""
+    """Plot tokens that were regenerated or reached no caller."""
     bars: Bars = []
     for row in _largest(report.money, _total_waste):
         bars.append((_label(row), _waste_by_reason(row)))
@@ -120,13 +120,13 @@
     return _stacked(
         bars,
         [*reasons, 'cut_short'],
-        'Tokens paid for twice, or that helped nobody',
+        'Tokens generated twice, not received, or cut short',
         'tokens',
     )
 
 
 def region_bytes(report: messages.Report) -> list[figure.Figure]:
-    """Draw what was carried across regions, by cause."""
+    """Plot the traffic between regions by cause."""
     bars: Bars = []
     rows = _largest(report.money, lambda row: sum(row.region_bytes.values()))
     for row in rows:
@@ -135,7 +135,7 @@
         }
         bars.append((_label(row), parts))
     causes = [cause.value for cause in names.TrafficCause]
-    return _stacked(bars, causes, 'Carried across regions', 'megabytes')
+    return _stacked(bars, causes, 'Traffic between regions', 'megabytes')
 
 
 PLOTS = {
@@ -168,7 +168,7 @@
 
 
 def _largest(rows, size) -> list:
-    """Return the rows with the largest sizes, the services first."""
+    """Return the rows with the largest sizes, with services first."""
     least = MIN_SHARE * max(map(size, rows), default=0)
     kept = [row for row in rows if size(row) > least]
     kept.sort(key=lambda row: (row.client_account != '', -size(row)))
@@ -183,7 +183,7 @@
 
 
 def _escape_mathtext(text: str) -> str:
-    """Return a text whose dollars do not begin a formula."""
+    """Return a text with dollar signs escaped for matplotlib."""
     return text.replace('$', r'\$')
 
 
--- a/eelgrassknot/reporting/rows.py
+++ b/eelgrassknot/reporting/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the report and the parts that VMs write of them."""
+"""Rows of the report, and the parts in which VMs store them."""
 
 import collections.abc
 import typing
@@ -30,10 +30,10 @@
 
 
 class RowKey(typing.NamedTuple):
-    """What a row is about.
+    """Key that identifies a row.
 
     Attributes:
-        upstream_region: Region of the last upstream, empty for none.
+        upstream_region: Region of the last upstream, or empty for none.
     """
 
     service: ids.ServiceName
@@ -42,19 +42,19 @@
 
 
 class Row(msgspec.Struct, array_like=True):
-    """What happened to the requests of one key.
+    """Aggregated statistics of the requests with one key.
 
     Attributes:
         outcomes: Requests by outcome.
         reasons: Requests by the reason of their refusal or failure.
-        parts_ms: Time by wait part; all of them add up to the whole.
-        sketches: Distributions by measure or wait part. Requests that
-            spent nothing in a part are not in the sketch of the part.
-        tokens_cut: Delivered tokens of answers that never became whole.
-        tokens_discarded: Tokens that reached nobody, by reason.
-        repeated_attempts: Attempts beside the first of each request.
-        region_bytes: Bytes between regions by cause.
-        region_cost: Their price.
+        parts_ms: Time by phase; the phases add up to the total time.
+        sketches: Distributions by measure or phase. The sketch of a phase
+            omits requests that spent no time in it.
+        tokens_cut: Delivered tokens of answers that were never completed.
+        tokens_discarded: Tokens that reached no caller, by reason.
+        repeated_attempts: Attempts after the first one of each request.
+        region_bytes: Bytes transferred between regions, by cause.
+        region_cost: Price of those bytes.
     """
 
     service: ids.ServiceName
@@ -73,20 +73,20 @@
     region_cost: float = 0.0
 
     def sketch_of(self, name: str) -> sketch.Sketch:
-        """Return the sketch of a name, a new one if there is none."""
+        """Return the sketch with a name; create it if necessary."""
         if name not in self.sketches:
             self.sketches[name] = sketch.Sketch()
         return self.sketches[name]
 
     def add_phase(self, part: names.Phase, spent_ms: float) -> None:
-        """Add time that a request spent in a part."""
+        """Add the time that a request spent in a phase."""
         if spent_ms:
             name = part.value
             self.parts_ms[name] = self.parts_ms.get(name, 0.0) + spent_ms
             self.sketch_of(name).add(spent_ms)
 
     def add_reason(self, reason: str) -> None:
-        """Count the reason of a request that was not served."""
+        """Count the reason why a request was not served."""
         if not reason:
             return
         if reason not in self.reasons and len(self.reasons) >= MAX_REASONS:
@@ -94,7 +94,7 @@
         add_count(self.reasons, reason, 1)
 
     def merge(self, other: 'Row') -> None:
-        """Add all that another row has seen."""
+        """Add the statistics of another row."""
         self.requests += other.requests
         for mine, theirs in (
             (self.outcomes, other.outcomes),
@@ -115,7 +115,7 @@
 
 
 def add_count(counts: Counts, name: str, count: int) -> None:
-    """Add to the count of a name; nothing is noted for a count of 0."""
+    """Add to the count of a name; a count of 0 creates no entry."""
     if count:
         counts[name] = counts.get(name, 0) + count
 
@@ -123,14 +123,14 @@
 class RowSet:
     """A bounded set of rows.
 
-    Beyond the bound, further client accounts share one row a service and
-    region, and the requests that were put there are counted.
+    Client accounts beyond the bound share one row per service and region;
+    the requests in these shared rows are counted.
 
     Args:
-        max_rows: Bound on the rows of named accounts.
+        max_rows: Maximum number of rows for individual accounts.
 
     Attributes:
-        folded_requests: Requests whose account the rows do not name.
+        folded_requests: Requests counted in shared rows.
     """
 
     def __init__(self, max_rows: int = MAX_ROWS) -> None:
@@ -139,11 +139,11 @@
         self.folded_requests = 0
 
     def row(self, key: RowKey, requests: int = 1) -> Row:
-        """Return the row to which the requests of a key belong.
+        """Return the row in which to count the requests with a key.
 
         Args:
-            key: What the requests are about.
-            requests: How many requests are to be put into the row.
+            key: Key of the requests.
+            requests: Number of requests to be counted.
         """
         found = self.rows.get(key)
         if found is None and len(self.rows) >= self.max_rows:
@@ -157,7 +157,7 @@
         return found
 
     def merge(self, rows: collections.abc.Iterable[Row]) -> None:
-        """Add all that other rows have seen."""
+        """Add the statistics of other rows."""
         for other in rows:
             key = RowKey(
                 other.service, other.client_account, other.upstream_region
@@ -166,11 +166,12 @@
 
 
 class VmIdentity(typing.NamedTuple):
-    """The VM that wrote a part.
+    """VM that wrote a part.
 
     Attributes:
-        operators_address: Where its operators' listener is, so that the
-            command line finds it with the platform's help alone.
+        operators_address: Address of its operators' listener. It is
+            stored with the part so that the command line can find the
+            listener by asking only the platform.
     """
 
     vm: ids.VmId
@@ -181,17 +182,17 @@
 
 
 class IntervalPart(msgspec.Struct, frozen=True):
-    """What one VM writes of one or more whole intervals.
+    """Statistics of one VM for one or more complete intervals.
 
     Attributes:
-        operators_address: Where the VM's operators' listener is.
-        first_sequence: Number of the first interval in it, from 0 for
-            each incarnation.
-        last_sequence: Number of the last interval in it.
-        started_ms: Wall-clock time at which it began.
-        ended_ms: Wall-clock time at which it ended.
-        final: Whether the VM ended with it, so that nothing follows.
-        folded_requests: Requests whose account the rows do not name.
+        operators_address: Address of the VM's operators' listener.
+        first_sequence: Number of the first interval; numbers start at 0
+            for each incarnation.
+        last_sequence: Number of the last interval.
+        started_ms: Wall-clock start.
+        ended_ms: Wall-clock end.
+        final: Whether this is the last part of the incarnation.
+        folded_requests: Requests counted under ``OTHER_ACCOUNTS``.
     """
 
     vm: ids.VmId
@@ -209,11 +210,11 @@
 
 
 def combine(first: IntervalPart, second: IntervalPart) -> IntervalPart:
-    """Return one part of two that follow each other.
+    """Combine two consecutive parts into one.
 
     Args:
         first: The earlier part.
-        second: The part that follows it without a gap.
+        second: The part that directly follows it.
     """
     merged = RowSet()
     merged.merge(first.rows)
@@ -229,20 +230,20 @@
 
 
 def encode(part: IntervalPart) -> bytes:
-    """Return a part as the body of an object."""
+    """Return a part encoded as an object body."""
     return zlib.compress(msgspec.msgpack.encode(part), COMPRESSION_LEVEL)
 
 
 def decode(body: bytes) -> IntervalPart:
-    """Return the part in the body of an object.
+    """Return the part that an object body encodes.
 
     Raises:
-        MalformedAnswerError: If the body is not what ``encode`` writes.
+        MalformedAnswerError: If the body is not a valid encoding.
     """
     try:
         return msgspec.msgpack.decode(zlib.decompress(body), type=IntervalPart)
     except (zlib.error, msgspec.MsgspecError) as error:
         raise exceptions.MalformedAnswerError(
-            f'an object of the report cannot be read: {error}',
+            f'cannot decode a report object: {error}',
             'check which version of the program wrote the object',
         ) from error
--- a/tests/reporting/explanation.feature
+++ b/tests/reporting/explanation.feature
@@ -1,6 +1,6 @@
-Feature: The cause of a failed request, from its id
+Feature: The cause of a failed request is found in the logs
 
-  Scenario Outline: the last line of a request names the cause
+  Scenario Outline: the final log line of a request gives the cause
     Given logs of two VMs with a request that ended for <reason>
     When the request is explained
     Then the cause names "<words>" and the timeline is in order
@@ -8,19 +8,19 @@
     Examples:
       | reason           | words            |
       | keys_out_of_date | revoked key      |
-      | upstream_lost    | no copy to go on |
+      | upstream_lost    | no copy to continue from |
       | deadline         | deadline passed  |
       | status_500       | answered 500     |
 
-  Scenario: changes of its upstreams are shown once, while it ran
+  Scenario: a state change that several VMs logged is shown once
     Given logs of two VMs with a request that ended for upstream_lost
     When the request is explained
-    Then the timeline has one line of the upstream's leaving
+    Then the timeline shows once that the upstream is leaving
 
-  Scenario: a request that no log names
+  Scenario: a request that is absent from the logs is reported as such
     Given logs of two VMs with a request that ended for deadline
-    Then explaining the request "nobody" says that no line names it
+    Then explaining the request "nobody" reports that no line names it
 
-  Scenario: the command prints the timeline and the cause
+  Scenario: the explain command prints the timeline and the cause
     Given logs of two VMs with a request that ended for upstream_lost
-    Then the command explain prints the cause, also as JSON
+    Then the command explain prints the cause as text and as JSON
--- a/tests/reporting_facts.py
+++ b/tests/reporting_facts.py
@@ -1,4 +1,4 @@
-"""Facts of invented requests, and VMs that record them, for tests."""
+"""Synthetic request facts and recorders for tests."""
 
 import random
 
@@ -22,7 +22,7 @@
 
 
 def generation(account='coral-resort', **changes):
-    """Return the facts of a generation; parts not named are zero."""
+    """Return the facts of a generation; unspecified phases are zero."""
     values = {
         'request': 'r1',
         'service': 'shop-assistant',
@@ -70,7 +70,7 @@
 
 
 def random_generation(generator: random.Random, account='coral-resort'):
-    """Return the facts of a generation such as an engine gives."""
+    """Return the facts of a random generation with realistic durations."""
     tokens = int(generator.lognormvariate(5, 1)) + 1
     gaps = tuple(generator.lognormvariate(3.3, 0.3) for _ in range(tokens))
     waits = {part: generator.expovariate(0.01) for part in PARTS}
@@ -94,7 +94,7 @@
 
 
 def vm_recorder(vm='nadi-1', incarnation='a1', now_ms=0.0):
-    """Return the recorder of a VM whose link costs one a gigabyte."""
+    """Return a recorder of a VM whose link costs 1 per gigabyte."""
     identity = rows.VmIdentity(
         vm, incarnation, 'nadi-yard', 'viti-levu', '127.0.0.1:1'
     )
--- a/tests/steps/reporting_coverage.py
+++ b/tests/steps/reporting_coverage.py
@@ -1,4 +1,4 @@
-"""Steps on writing the report's parts and finding missing ones."""
+"""Steps for writing report parts and detecting missing intervals."""
 
 import random
 import types
@@ -24,10 +24,10 @@
 
 
 class InMemoryObjectStore:
-    """Object store in memory that can be down or lose its answers."""
+    """In-memory object store that can be unavailable or lose answers."""
 
     def __init__(self):
-        # The steps break writes on purpose.
+        # Suppresses the expected errors about failed writes.
         logging.set_verbosity(logging.FATAL)
         self.bodies = {}
         self.is_down = False
@@ -68,7 +68,7 @@
     )
     context.part = report_part.ReportPart(node, context.clock)
     context.hub = node.hub
-    # The thread is not started: the steps take its place.
+    # The steps call write_interval themselves instead of the thread.
     context.part.thread = types.SimpleNamespace(join=lambda: None)
     context.part.write_interval()
 
@@ -87,7 +87,7 @@
     return read.unwrap()
 
 
-@behave.given('an object store and a VM that writes each 60 s')
+@behave.given('an object store and a VM that writes every 60 s')
 def given_store(context):
     context.objects = InMemoryObjectStore()
     context.clock = clocks.ManualClock()
@@ -169,7 +169,7 @@
     context.objects.loses_answers = False
 
 
-@behave.then('at most {count:d} parts wait')
+@behave.then('at most {count:d} parts are pending')
 def parts_wait(context, count):
     assert len(context.part.pending.parts) <= count
     assert context.part.status()['report']['coalesced'] > 0
@@ -212,7 +212,7 @@
     assert [entry.vm for entry in missing] == [named]
 
 
-@behave.then('its status says that parts were dropped')
+@behave.then('its status shows dropped parts')
 def says_dropped(context):
     assert context.part.status()['report']['dropped'] > 0
 
@@ -245,7 +245,7 @@
     assert line in exposed(context).splitlines()
 
 
-@behave.then('at most {count:d} client accounts stand in the metrics')
+@behave.then('the metrics contain at most {count:d} client accounts')
 def metrics_bound(context, count):
     lines = exposed(context).splitlines()
     name = 'eelgrassknot_account_requests_total{'
@@ -255,12 +255,12 @@
 @behave.when('{days:d} days go by')
 def days_go_by(context, days):
     context.clock.advance_ms(days * MS_PER_DAY)
-    # The interval that ends now began before.
+    # The interval closed here started before the time skip.
     context.part.recorder.close_interval(context.clock.now_ms())
 
 
 @behave.then(
-    'deleting by a text that keeps {days:f} days leaves {count:d} objects'
+    'deletion with a retention of {days:f} days leaves {count:d} objects'
 )
 def deleting_leaves(context, days, count):
     node = context.part.node
@@ -282,7 +282,7 @@
     context.traffic.set_region(second, second_region)
 
 
-@behave.then('what crossed regions grows as follows')
+@behave.then('the cross-region bytes grow as follows')
 def crossed_grows(context):
     for row in context.table:
         context.sent = {vm: int(row[vm]) for vm in row.headings[:-1]}
--- a/tests/steps/reporting_daemon.py
+++ b/tests/steps/reporting_daemon.py
@@ -1,4 +1,4 @@
-"""Steps that run a daemon and read its report by the command line."""
+"""Steps that run a daemon and read its report with the command line."""
 
 import hashlib
 import json
@@ -156,7 +156,7 @@
     assert report['coverage']['missing'] == [], report['coverage']
 
 
-@behave.then('the audit trail names who accepted the text')
+@behave.then('the audit trail names the author of the accepted services text')
 def audit_names(context):
     context.shown.append(run(context, 'audit', '--json'))
     authors = [row['author'] for row in json.loads(context.shown[-1])]
@@ -164,7 +164,7 @@
     context.shown.append(run(context, 'audit'))
 
 
-@behave.then('the status command shows the VM at the version in force')
+@behave.then('the status command shows the VM at the current version')
 def status_shows(context):
     (vm,) = json.loads(context.status)['vms']
     assert (vm['vm'], vm['config_version'], vm['behind']) == ('nadi-1', 1, 0)
--- a/tests/steps/reporting_explanation.py
+++ b/tests/steps/reporting_explanation.py
@@ -1,4 +1,4 @@
-"""Steps on explaining requests."""
+"""Steps for explaining requests from logs."""
 
 import json
 import pathlib
@@ -50,7 +50,7 @@
     assert times == sorted(times) and len(times) == 3, times
 
 
-@behave.then("the timeline has one line of the upstream's leaving")
+@behave.then('the timeline shows once that the upstream is leaving')
 def one_leaving(context):
     found = [
         line
@@ -60,13 +60,15 @@
     assert len(found) == 1 and '00:00:05' in found[0].time, found
 
 
-@behave.then('explaining the request "{request}" says that no line names it')
+@behave.then(
+    'explaining the request "{request}" reports that no line names it'
+)
 def not_named(context, request):
     found = explanation.explain(request, _all(context))
     assert 'no line names' in found.cause and not found.timeline
 
 
-@behave.then('the command explain prints the cause, also as JSON')
+@behave.then('the command explain prints the cause as text and as JSON')
 def command_prints(context):
     with tempfile.TemporaryDirectory() as folder:
         for number, log in enumerate(context.logs):
@@ -75,6 +77,7 @@
         files = ['vm-0.log', 'vm-1.log']
         plain = cli_process.run_cli(['explain', 'q1', *files], folder)
         assert plain.returncode == 0, plain.stderr
-        assert 'cause: the upstream broke off' in plain.stdout, plain.stdout
+        cause = 'cause: the upstream connection broke'
+        assert cause in plain.stdout, plain.stdout
         told = cli_process.run_cli(['explain', '--json', 'q1', *files], folder)
         assert json.loads(told.stdout)['reason'] == 'upstream_lost'
--- a/tests/steps/reporting_report.py
+++ b/tests/steps/reporting_report.py
@@ -1,4 +1,4 @@
-"""Steps on the merged report and its formats."""
+"""Steps for the merged report and its formats."""
 
 import csv
 import io
@@ -47,7 +47,7 @@
     return sum(r.requests for r in report.operations if not r.client_account)
 
 
-@behave.then('the parts of any recorded facts add up to their whole time')
+@behave.then('the phases of any recorded requests add up to their total time')
 def parts_add_up(context):
     durations = strategies.floats(0, 1e6)
 
@@ -73,7 +73,7 @@
         for row in report.operations:
             parts_ms = sum(part.total_ms for part in row.parts)
             assert abs(parts_ms - row.total_ms) <= 1e-6 * (1 + total_ms)
-            # One rounding a request, which is left out as noise.
+            # The recorder ignores up to 0.001 ms of rounding per request.
             allowed_ms = 0.002 * row.requests + 1e-9 * total_ms
             assert abs(row.total_ms - total_ms) <= allowed_ms, row
 
@@ -156,7 +156,7 @@
     context.recorders = [recorder]
 
 
-@behave.then('the money reading says')
+@behave.then('the cost section shows')
 def money_says(context):
     context.money = find_row(report_of(context.recorders).money)
     found = {
@@ -170,7 +170,9 @@
         assert found[row['name']] == int(row['value']), found
 
 
-@behave.then('the price of {count:d} bytes at {price:d} a gigabyte is in it')
+@behave.then(
+    'it includes the price of {count:d} bytes at {price:d} per gigabyte'
+)
 def price_is(context, count, price):
     assert abs(context.money.region_cost - count * price / 1e9) < 1e-15
 
@@ -193,7 +195,7 @@
 
 
 @behave.then(
-    'the report still counts {count:d} requests and says that {folded:d}'
+    'the report counts {count:d} requests and states that {folded:d}'
     ' are folded'
 )
 def report_counts_folded(context, count, folded):
@@ -263,7 +265,7 @@
         assert [r['requests'] for r in found] == [count]
 
 
-@behave.then('the page is one file with its plots inside')
+@behave.then('the page is self-contained with embedded plots')
 def page_is_whole(context):
     images = re.findall(r'<svg.*?</svg>', context.page, re.DOTALL)
     assert len(images) >= 4
@@ -308,7 +310,7 @@
     assert [cells[-1] for cells in table.rows] == [main, main]
 
 
-@behave.then('its tables have no column or line in which all is zero')
+@behave.then('its tables have no columns or rows of only zeros')
 def no_empty_columns(context):
     table = rendering.operations_table(context.report)
     assert 'gap p99' not in table.columns and 'decode s' not in table.columns
