--- a/tests/steps/reporting_explanation.py
+++ b/tests/steps/reporting_explanation.py
@@ -77,7 +77,8 @@
         files = ['vm-0.log', 'vm-1.log']
         plain = cli_process.run_cli(['explain', 'q1', *files], folder)
         assert plain.returncode == 0, plain.stderr
-        cause = 'cause: the upstream connection broke'
-        assert cause in plain.stdout, plain.stdout
+        assert 'cause: the upstream connection broke' in plain.stdout, (
+            plain.stdout
+        )
         told = cli_process.run_cli(['explain', '--json', 'q1', *files], folder)
         assert json.loads(told.stdout)['reason'] == 'upstream_lost'
