--- a/eelgrassknot/policy/admission.py
+++ b/eelgrassknot/policy/admission.py
@@ -1,10 +1,11 @@
-"""Queue at the entry VM, where order can still change.
-
-A request waits here rather than in an engine, so that fairness and
-priority act on it and a refusal is truthfully "not run". The queue is
-bounded; when it is full the account that holds most of it for its
-weight loses its newest request. A request whose deadline cannot be met
-is refused when it comes, not when the deadline has passed.
+"""Request queue of one service at the entry VM.
+
+Requests wait here rather than in an engine, so that fairness and
+priority apply to them and a refused request is known not to have run.
+The queue is bounded: when it is full, the newest request of the account
+with the most queued requests relative to its weight is evicted. A request
+whose deadline cannot be met is refused on arrival instead of when the
+deadline expires.
 """
 
 import collections
@@ -28,11 +29,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueuedRequest:
-    """A request that waits at this VM.
+    """A request that is queued at this VM.
 
     Attributes:
-        arrived_ms: When it came.
-        deadline_ms: When it is of no use any more.
+        arrived_ms: Time of arrival.
+        deadline_ms: Time after which the response is no longer useful.
     """
 
     profile: messages.RequestProfile
@@ -41,11 +42,12 @@
 
 
 class EntryQueue:
-    """Requests of one service that wait for an engine.
+    """Requests of one service that are waiting for an engine.
 
     Args:
-        counters: Token counters of the accounts.
-        fair: Whether these order the queue; else the oldest goes first.
+        counters: Token counters of the client accounts.
+        fair: Whether the counters order the queue; if not, it is first in,
+            first out.
     """
 
     def __init__(
@@ -62,7 +64,7 @@
         self.rate_window_start_ms: float | None = None
 
     def push(self, queued: QueuedRequest) -> QueuedRequest | None:
-        """Take a request in; return one that must be refused for it.
+        """Add a request; return the one evicted to make room, if any.
 
         Args:
             queued: The request.
@@ -82,17 +84,17 @@
         return self._evict_newest()
 
     def head(self, now_ms: float) -> QueuedRequest | None:
-        """Return the request that goes next, which stays queued."""
+        """Return the next request to dispatch without removing it."""
         key = self._next_queue(now_ms)
         return self.queues[key][0] if key else None
 
     def pop(self, queued: QueuedRequest) -> None:
-        """Take out a request that leaves for an engine."""
+        """Remove a request that is dispatched to an engine."""
         self.remove(queued)
         self.dispatched_count += 1
 
     def remove(self, queued: QueuedRequest) -> None:
-        """Take out a request."""
+        """Remove a request."""
         key = (queued.profile.priority, queued.profile.client_account)
         self.queues[key].remove(queued)
         self.size -= 1
@@ -100,7 +102,7 @@
             del self.queues[key]
 
     def find(self, request: ids.RequestId) -> QueuedRequest | None:
-        """Return a queued request by its id."""
+        """Return the queued request with this ID, or None."""
         for lane in self.queues.values():
             for queued in lane:
                 if queued.profile.request == request:
@@ -117,11 +119,11 @@
         ]
 
     def accounts(self) -> list[ids.ClientAccountId]:
-        """Return the accounts that have something queued."""
+        """Return the accounts with queued requests."""
         return list(dict.fromkeys(account for _, account in self.queues))
 
     def expected_wait_ms(self, profile: messages.RequestProfile) -> float:
-        """Return how long a request that came now would wait.
+        """Return the expected wait of a request that arrives now.
 
         Args:
             profile: The request.
@@ -131,8 +133,8 @@
         account = profile.client_account
         waiting = self._count_ahead_by_account(profile.priority)
         own = waiting.pop(account, 0) + 1
-        # The account's counter when this request goes; others go first
-        # as far as their counters are below it.
+        # The account's counter when this request is dispatched. Requests
+        # of other accounts go first while their counters are below it.
         level = self._counter_at_dispatch(account, own, waiting)
         ahead = own - 1.0
         for other, count in waiting.items():
@@ -143,7 +145,7 @@
         return ahead / rate * clock.MS_PER_SECOND
 
     def record_charge(self, tokens: float) -> None:
-        """Take in what a request was charged when it left."""
+        """Record the tokens a request was charged at dispatch."""
         part = CHARGE_SMOOTHING
         self.mean_charge += part * (tokens - self.mean_charge)
 
@@ -171,7 +173,7 @@
         return level + before / self.counters.weight(account)
 
     def update_rate(self, now_ms: float) -> None:
-        """Bring the rate at which requests leave up to date."""
+        """Update the estimated dispatch rate."""
         if self.rate_window_start_ms is None:
             self.rate_window_start_ms = now_ms
             return
--- a/eelgrassknot/policy/commitments.py
+++ b/eelgrassknot/policy/commitments.py
@@ -1,8 +1,8 @@
-"""What runs are known to take at each engine, here and at other VMs.
+"""Engine capacity committed to runs of this VM and of other VMs.
 
-A report of an engine is old when it arrives, and several VMs that place
-by the same old report choose the same engine. Each VM therefore counts
-what it has placed itself and is told the sums of the others.
+Engine load reports are stale on arrival, and VMs that place runs by the
+same stale report all choose the same engine. Each VM therefore keeps
+track of its own placements and receives the sums of its peers.
 """
 
 import collections
@@ -14,9 +14,9 @@
 __all__ = ['Commitment', 'Commitments', 'EngineSums', 'forecast_output']
 
 PEER_SUMS_TTL_MS = 3_000.0
-"""Sums of a peer that was not heard of for so long are forgotten; ms."""
+"""Age after which the sums of a peer are ignored; ms."""
 DEFAULT_OUTPUT_SHARE = 0.5
-"""Part of the largest output that a run without a hint is taken to make."""
+"""Expected output of a run without a hint, as a share of its maximum."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -24,10 +24,10 @@
     """Totals of one VM's runs at one engine.
 
     Attributes:
-        runs: Runs that are there.
-        tokens: Memory that they take.
-        copy_tokens: Memory that copies of runs elsewhere take there.
-        unread_tokens: Prompt tokens of those without a first event.
+        runs: Number of runs.
+        tokens: Memory that the runs need, in tokens.
+        copy_tokens: Memory needed for copies of runs on other engines.
+        unread_tokens: Prompt tokens of the runs without a first event yet.
     """
 
     runs: int = 0
@@ -36,7 +36,7 @@
     unread_tokens: int = 0
 
     def add(self, other: 'EngineSums') -> 'EngineSums':
-        """Return the sums of both."""
+        """Return the element-wise sum."""
         return EngineSums(
             self.runs + other.runs,
             self.tokens + other.tokens,
@@ -50,12 +50,12 @@
     """One run of this VM.
 
     Attributes:
-        upstream: Where it runs.
-        copy: Where a copy of its memory grows, or None.
-        prompt_tokens: Size of its prompt.
-        output_tokens: Forecast of its output.
+        upstream: Engine on which it runs.
+        copy: Engine that keeps a copy of its memory, or None.
+        prompt_tokens: Size of the prompt.
+        output_tokens: Forecast size of the output.
         produced_tokens: Output so far.
-        started: Whether its first event has come.
+        started: Whether its first event has been received.
     """
 
     upstream: ids.UpstreamId
@@ -67,20 +67,20 @@
 
     @property
     def tokens(self) -> int:
-        """Memory that it is taken to need at its end."""
+        """Memory that the run is expected to need when it completes."""
         output = max(self.output_tokens, self.produced_tokens)
         return self.prompt_tokens + output
 
 
 class Commitments:
-    """Sums over the runs of this VM and of its peers.
+    """Commitments of this VM, and sums reported by its peers.
 
     Example:
-        >>> book = Commitments()
-        >>> book.commit('r1', Commitment('e1', 'e2', 100, 50))
-        >>> book.sums('e1', 0.0)
+        >>> commitments = Commitments()
+        >>> commitments.commit('r1', Commitment('e1', 'e2', 100, 50))
+        >>> commitments.sums('e1', 0.0)
         EngineSums(runs=1, tokens=150, copy_tokens=0, unread_tokens=100)
-        >>> book.sums('e2', 0.0).copy_tokens
+        >>> commitments.sums('e2', 0.0).copy_tokens
         150
     """
 
@@ -92,11 +92,11 @@
         ] = {}
 
     def commit(self, run: object, commitment: Commitment) -> None:
-        """Count a run from now on."""
+        """Add a run."""
         self.runs[run] = commitment
 
     def release(self, run: object) -> None:
-        """Count a run no more."""
+        """Remove a run."""
         self.runs.pop(run, None)
 
     def update_peer(
@@ -105,11 +105,11 @@
         sums: dict[ids.UpstreamId, EngineSums],
         now_ms: float,
     ) -> None:
-        """Take in the sums of a peer, or of all VMs of another zone."""
+        """Store the sums of a peer, or of all VMs of another zone."""
         self.peers[peer] = (now_ms, sums)
 
     def own_sums(self) -> dict[ids.UpstreamId, EngineSums]:
-        """Return the sums of this VM's runs by engine."""
+        """Return the sums over this VM's runs, by engine."""
         sums: dict[ids.UpstreamId, EngineSums] = collections.defaultdict(
             EngineSums
         )
@@ -128,11 +128,11 @@
         peers: collections.abc.Collection[collections.abc.Hashable]
         | None = None,
     ) -> dict[ids.UpstreamId, EngineSums]:
-        """Return sums over VMs by engine.
+        """Return the sums of this VM and its peers, by engine.
 
         Args:
             now_ms: The present time.
-            peers: Whose to add to this VM's own, or None for all.
+            peers: Peers to include, or None for all.
         """
         total = self.own_sums()
         for peer, (heard_ms, sums) in self.peers.items():
@@ -150,11 +150,11 @@
 
 
 def forecast_output(largest: int, hint: int | None) -> int:
-    """Return how many tokens a run is taken to generate.
+    """Return the number of tokens a run is expected to generate.
 
     Args:
-        largest: Most that it may generate.
-        hint: The caller's guess, or None.
+        largest: Maximum number of output tokens.
+        hint: The caller's estimate, or None.
     """
     if hint is None:
         return int(largest * DEFAULT_OUTPUT_SHARE)
--- a/eelgrassknot/policy/dispatcher.py
+++ b/eelgrassknot/policy/dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatcher: decides when and where each request of a VM runs."""
+"""Decides when each request of an entry VM runs, and on which upstream."""
 
 import random
 
@@ -24,13 +24,13 @@
 
 
 class Dispatcher:
-    """Takes in events and the time; returns dispatches and refusals.
+    """Handles events and returns dispatches and refusals; does no I/O.
 
     Args:
         availability_zone: Zone of this VM.
         region: Region of this VM.
-        generator: Source of random choices.
-        options: Mechanisms in use; all by default.
+        generator: Random number generator.
+        options: Enabled mechanisms; all by default.
     """
 
     def __init__(
@@ -63,10 +63,10 @@
     def handle(
         self, event: messages.Event, now_ms: float
     ) -> list[messages.Action]:
-        """Take in one event and return what is to be done.
+        """Handle one event and return the resulting actions.
 
         Args:
-            event: What happened.
+            event: The event.
             now_ms: The present time of this VM's clock.
         """
         match event:
@@ -91,7 +91,7 @@
         return []
 
     def announcement(self, now_ms: float) -> messages.Announcement:
-        """Return what the peers are to be told.
+        """Return the state to announce to the peers.
 
         Args:
             now_ms: The present time.
@@ -108,7 +108,7 @@
         return messages.Announcement(tuple(shares), tuple(demands))
 
     def status(self, now_ms: float) -> status.DispatcherStatus:
-        """Return the dispatcher's state, for operators.
+        """Return the dispatcher's state for the operators' status page.
 
         Args:
             now_ms: The present time.
--- a/eelgrassknot/policy/engine_pairs.py
+++ b/eelgrassknot/policy/engine_pairs.py
@@ -1,9 +1,9 @@
-"""Places a run on one engine and the copy of its memory on another.
+"""Choice of the engine for a run and of the engine for its backup copy.
 
-The engine is the one with the least expected delay; the copy goes where
-the least memory is taken, in the same region, since the link between
-regions would need minutes for it. A run that is worth a copy prefers a
-region in which one can be kept.
+A run goes to the engine with the least expected delay. The copy of its
+memory goes to the engine with the lowest memory use in the same region,
+because the transfer over the link between regions would take minutes. A
+run that should have a copy prefers a region in which one can be kept.
 """
 
 import collections.abc
@@ -21,30 +21,32 @@
 ]
 
 PREFILL_TOKENS_PER_MS = 14.0
-"""Prompt tokens that an engine reads in a ms; from the users' sheets."""
+"""Prefill speed of an engine in prompt tokens per ms, from the users'
+engine specifications."""
 RUN_DELAY_MS = 15.0
-"""Delay that each run adds to the others at its engine; ms. A step grows
-by 0.12 ms a run, and a long answer takes some hundred steps."""
+"""Delay that each run adds to the other runs of its engine; ms. Each run
+lengthens an engine step by 0.12 ms, and a long output takes some hundred
+steps."""
 CROSS_REGION_DELAY_MS = 90.0
-"""Delay of the round trip to another region; ms."""
+"""Round-trip time to another region; ms."""
 WARM_UP_DELAY_SHARE = 0.3
-"""Part of the remaining warm-up that is counted as delay."""
+"""Share of the remaining warm-up time that counts as delay."""
 NO_COPY_DELAY_MS = 300.0
-"""Delay that weighs as much as doing without a copy for now; ms."""
+"""Delay equivalent of not being able to keep a copy for now; ms."""
 SOLE_ENGINE_DELAY_PER_TOKEN_MS = 3.0
-"""Delay that weighs as much as a token of output at an engine that has no
-other in its region: what runs there ends with it; ms."""
+"""Delay equivalent of each output token on the only engine of a region,
+whose runs are lost if it fails; ms."""
 MAX_COPY_FILL_SHARE = 0.75
-"""Part of a memory that copies may fill; the rest is for runs, and for
-those that have to leave another engine."""
+"""Share of an engine's memory up to which copies may be added. The rest is
+reserved for runs, including runs moved from other engines."""
 OTHER_ZONE_PENALTY_SHARE = 0.15
-"""Part of the memory that weighs as much as a copy in another zone, which
-takes twice as long."""
+"""Penalty for a copy in another zone, as a share of the engine's memory. A
+transfer between zones takes twice as long."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Location:
-    """Where a run is."""
+    """The engine on which a run is placed."""
 
     upstream: ids.UpstreamId
     region: ids.RegionId
@@ -56,9 +58,9 @@
     """An engine that may be given work.
 
     Attributes:
-        memory_tokens: Tokens that its memory holds.
-        slots: Runs that it takes at once.
-        warm_up_ms: How much longer it is slow after its start.
+        memory_tokens: Capacity of its memory in tokens.
+        slots: Maximum number of concurrent runs.
+        warm_up_ms: Remaining time of reduced speed after its start.
     """
 
     memory_tokens: int
@@ -68,11 +70,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class RunRequirements:
-    """What a run needs.
+    """Resources that a run needs.
 
     Attributes:
-        region: Region of the VM that asks.
-        wants_copy: Whether a copy of its memory is to be kept.
+        region: Region of the requesting VM.
+        wants_copy: Whether to keep a copy of its memory.
     """
 
     region: ids.RegionId
@@ -82,7 +84,7 @@
 
     @property
     def tokens(self) -> int:
-        """Memory that the run needs at its end."""
+        """Memory that the run needs when it completes."""
         return self.prompt_tokens + self.output_tokens
 
 
@@ -95,12 +97,12 @@
     engines: collections.abc.Sequence[Engine],
     sums: Sums,
 ) -> Engine | None:
-    """Return the engine for a run, or None while all are full.
+    """Return the engine for a run, or None if none has room.
 
     Args:
-        need: What the run needs.
-        engines: Engines that may be given work.
-        sums: What is known to run at each.
+        need: Requirements of the run.
+        engines: Engines that accept work.
+        sums: Commitments at each engine.
     """
     candidates = [e for e in engines if has_room(need.tokens, e, sums)]
     if not candidates:
@@ -117,16 +119,16 @@
     sums: Sums,
     must_fit: bool = True,
 ) -> Engine | None:
-    """Return where the copy of a run is kept, or None if nowhere.
+    """Return the engine for the copy of a run, or None if there is none.
 
     Args:
-        tokens: Memory that the run needs at its end.
-        primary: Where it runs, which may be about to leave.
-        engines: Engines that may be given work.
-        sums: What is known to run at each.
-        must_fit: Whether only engines with room will do. A run that is
-            lost otherwise takes the emptiest one: runs end before their
-            forecast more often than not.
+        tokens: Memory that the run needs when it completes.
+        primary: Location of the run; its engine may be leaving.
+        engines: Engines that accept work.
+        sums: Commitments at each engine.
+        must_fit: Whether only engines with room qualify. If not, a run
+            that would otherwise be lost may go to the least filled engine
+            even without room, since most runs end before their forecast.
     """
     same_region = [
         engine
@@ -153,16 +155,16 @@
 
 
 def has_room(tokens: int, engine: Engine, sums: Sums) -> bool:
-    """Return whether an engine has room for a run beside all it has."""
+    """Return whether an engine has room for another run."""
     if sums.get(engine.upstream, _NO_SUMS).runs >= engine.slots:
         return False
-    # A run larger than the whole memory is the engine's to reject.
+    # A run larger than the whole memory is placed; the engine rejects it.
     wanted = min(tokens, engine.memory_tokens)
     return _committed_tokens(engine, sums) + wanted <= engine.memory_tokens
 
 
 def has_room_for_copy(tokens: int, engine: Engine, sums: Sums) -> bool:
-    """Return whether an engine has room to spare for a copy."""
+    """Return whether an engine has room for a copy."""
     limit = engine.memory_tokens * MAX_COPY_FILL_SHARE
     return _committed_tokens(engine, sums) + tokens <= limit
 
@@ -195,7 +197,7 @@
     engines: collections.abc.Sequence[Engine],
     sums: Sums,
 ) -> float:
-    """Return the delay that the risk of losing the run weighs as much as."""
+    """Return the delay equivalent of the risk of losing the run."""
     regions = [other.region for other in engines]
     if regions.count(engine.region) < 2:
         return SOLE_ENGINE_DELAY_PER_TOKEN_MS * need.output_tokens
--- a/eelgrassknot/policy/engine_pool.py
+++ b/eelgrassknot/policy/engine_pool.py
@@ -1,4 +1,4 @@
-"""Decisions on the engines of one service."""
+"""Queueing, placement and load tracking for the engines of one service."""
 
 import random
 
@@ -29,17 +29,17 @@
 
 
 class EnginePool:
-    """Queue, views and placement of one service of engines.
+    """Request queue, engine views and placement of one service.
 
     Args:
         service: Name of the service.
         availability_zone: Zone of this VM.
         region: Region of this VM.
-        generator: Source of random choices.
-        counters: Token counters of the accounts.
+        generator: Random number generator.
+        counters: Token counters of the client accounts.
         book: Health of the upstreams.
-        link: Budget of the link between regions.
-        options: Mechanisms in use.
+        link: Bandwidth budget of the link between regions.
+        options: Enabled mechanisms.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
     def configure(
         self, service: services_text.Service, withheld: frozenset
     ) -> None:
-        """Take in the service as another services text has it."""
+        """Apply the service's settings from a new services text."""
         self.tuning = objective.placement_tuning(service.objective)
         self.max_tokens = service.max_tokens
         self.candidates.withheld = withheld
@@ -87,7 +87,7 @@
     def set_engines(
         self, infos: list[kernel_events.UpstreamInfo], now_ms: float
     ) -> None:
-        """Take in the whole set of the service's engines."""
+        """Replace the set of the service's engines."""
         fresh = bool(self.views)
         self.candidates.invalidate()
         named = {info.upstream for info in infos}
@@ -109,7 +109,7 @@
     def admit(
         self, profile: messages.RequestProfile, now_ms: float
     ) -> list[messages.Action]:
-        """Queue a request, or refuse it if it would wait too long."""
+        """Dispatch or queue a request; refuse it if it would wait too long."""
         if not self.candidates.usable(
             True, now_ms
         ) and not self.candidates.usable(False, now_ms):
@@ -144,7 +144,7 @@
         failed: ids.UpstreamId,
         now_ms: float,
     ) -> list[messages.Action]:
-        """Place a request elsewhere, or queue it again."""
+        """Place a request on another engine, or queue it again."""
         self.end(profile.request, False, now_ms)
         for near in (True, False):
             views = self.candidates.usable(near, now_ms)
@@ -160,7 +160,7 @@
         )
 
     def cancel(self, request: ids.RequestId) -> bool:
-        """Take a request out of the queue; return whether it was there."""
+        """Remove a request from the queue; return whether it was queued."""
         queued = self.queue.find(request)
         if queued is not None:
             self.queue.remove(queued)
@@ -169,7 +169,7 @@
     def record_tokens(
         self, request: ids.RequestId, count: int, now_ms: float
     ) -> None:
-        """Count tokens of a running request."""
+        """Record output tokens of a running request."""
         view = self.held_at.get(request)
         if view is None:
             return
@@ -195,7 +195,7 @@
     def end(
         self, request: ids.RequestId, complete: bool, now_ms: float
     ) -> None:
-        """Count a request as no longer held by its engine."""
+        """Record that a request no longer occupies its engine."""
         view = self.held_at.pop(request, None)
         if view is None:
             return
@@ -212,7 +212,7 @@
             self.book.record_success(view.info.upstream)
 
     def update_load(self, load: messages.EngineLoad, now_ms: float) -> None:
-        """Take in an engine's load report."""
+        """Process an engine's load report."""
         view = self.views.get(load.upstream)
         if view is None:
             return
@@ -221,7 +221,7 @@
             view.limit.on_preemption(load.running, now_ms)
 
     def tick(self, now_ms: float) -> list[messages.Action]:
-        """Do what time alone calls for."""
+        """Do the periodic work: forecasts, feedback and expired requests."""
         if now_ms - self.last_refresh_ms >= REFRESH_INTERVAL_MS:
             self.last_refresh_ms = now_ms
             for view in self.views.values():
@@ -237,7 +237,7 @@
         return actions + self.dispatch_queued(now_ms)
 
     def dispatch_queued(self, now_ms: float) -> list[messages.Action]:
-        """Dispatch queued requests as far as the engines hold them."""
+        """Dispatch queued requests while the engines have room."""
         actions: list[messages.Action] = []
         if not self.queue.size:
             return actions
--- a/eelgrassknot/policy/engine_queue.py
+++ b/eelgrassknot/policy/engine_queue.py
@@ -1,8 +1,8 @@
-"""Order in which streams get engines, and who waits at the entry VM.
+"""Queue of streams that are waiting for an engine.
 
-A stream that waits here can still be refused truthfully and goes to
-whichever engine has room first; one that waits at an engine is lost with
-it. The more urgent go first, then those that came first.
+A stream queued at the entry VM can still be refused as not run and goes to
+the first engine with room, whereas a stream queued at an engine is lost if
+the engine fails. Streams are placed by rank, then in order of arrival.
 """
 
 import collections.abc
@@ -17,17 +17,17 @@
 __all__ = ['EngineQueue', 'PlacementRequest', 'Placement', 'Refusal']
 
 RETRY_AFTER_MS = 1_000.0
-"""Retry-After of a refusal while no engine is known; ms."""
+"""Retry-After of a refused stream; ms."""
 
 
 @dataclasses.dataclass(frozen=True)
 class PlacementRequest:
-    """A stream that wants an engine.
+    """A stream that needs an engine.
 
     Attributes:
-        rank: 0 is the most urgent.
-        failed: Engines that it must not go to.
-        give_up_ms: When waiting on has no more use.
+        rank: Urgency; 0 is the most urgent.
+        excluded: Engines that it must not be placed on.
+        deadline_ms: Time after which it is refused.
     """
 
     request: ids.RequestId
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Placement:
-    """A stream got an engine."""
+    """The engine assigned to a stream."""
 
     request: ids.RequestId
     engine: engine_pairs.Engine
@@ -48,21 +48,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class Refusal:
-    """A stream waited in vain."""
+    """A stream that was not placed before its deadline."""
 
     request: ids.RequestId
     retry_after_ms: float
 
 
 class EngineQueue:
-    """Places streams on engines, at once or when there is room.
+    """Places streams on engines as soon as there is room.
 
     Args:
-        book: Health of the engines.
+        health_tracker: Health of the engines.
 
     Attributes:
-        engines: Engines of each service that may be given work.
-        commitments: What runs where.
+        engines: Engines of each service that accept work.
+        commitments: Capacity committed at each engine.
     """
 
     def __init__(self, health_tracker: health.HealthTracker) -> None:
@@ -75,18 +75,18 @@
         self.arrivals = itertools.count()
 
     def submit(self, order: PlacementRequest) -> None:
-        """Have a stream placed by a later step."""
+        """Queue a stream; the next step tries to place it."""
         self.waiting.append((order.rank, next(self.arrivals), order))
         self.waiting.sort(key=lambda entry: entry[:2])
 
     def cancel(self, request: ids.RequestId) -> None:
-        """Forget a stream that waits."""
+        """Remove a queued stream."""
         self.waiting = [
             entry for entry in self.waiting if entry[2].request != request
         ]
 
     def step(self, now_ms: float) -> list[Placement | Refusal]:
-        """Place those that fit and refuse those that waited in vain.
+        """Place the streams that fit; refuse those past their deadline.
 
         Args:
             now_ms: The present time.
@@ -121,14 +121,14 @@
         must_fit: bool,
         now_ms: float,
     ) -> engine_pairs.Engine | None:
-        """Return where the copy of a run may be kept.
+        """Return the engine for the copy of a run, or None.
 
         Args:
             service: The service.
-            primary: Where the run is.
-            tokens: Memory that it needs at its end.
-            refused: Engines that will not do.
-            must_fit: Whether only an engine with room will do.
+            primary: Location of the run.
+            tokens: Memory that the run needs when it completes.
+            excluded: Engines that it must not be placed on.
+            must_fit: Whether only engines with room qualify.
             now_ms: The present time.
         """
         engines = self.engines.get(service, ())
--- a/eelgrassknot/policy/engine_view.py
+++ b/eelgrassknot/policy/engine_view.py
@@ -1,8 +1,8 @@
-"""What a VM believes about one engine.
+"""Estimated load of one engine as seen by an entry VM.
 
-The engine's report is old and knows nothing of the last dispatches; the
-VM knows its own requests exactly, and its peers' by their digests. The
-view adds these up, and widens with the age of what it rests on.
+An engine's load report is stale and misses the latest dispatches. The VM
+knows its own requests exactly and those of its peers from their digests.
+The view combines these sources; information past its lifetime is dropped.
 """
 
 import dataclasses
@@ -25,12 +25,14 @@
 
 @dataclasses.dataclass(slots=True)
 class ActiveRequest:
-    """A request that this VM has at an engine.
+    """A request that this VM has dispatched to an engine.
 
     Attributes:
-        upfront: Output tokens that were charged at dispatch.
+        charged_tokens: Output tokens that were charged at dispatch.
         produced: Output tokens so far.
-        forecast_at: Value of ``produced`` when its footprint was made.
+        forecast_produced: Value of ``produced`` when the footprint was
+            computed.
+        last_progress_ms: Time of the last output, or None before it.
     """
 
     profile: messages.RequestProfile
@@ -46,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerDigest:
-    """What a peer said that it has at the engine."""
+    """The last digest of a peer, with its time of receipt."""
 
     digest: messages.DigestReceived
     received_ms: float
@@ -54,11 +56,11 @@
 
 @dataclasses.dataclass(slots=True)
 class PeerLoad:
-    """What other VMs are believed to have at an engine.
+    """Estimated load that other VMs put on an engine.
 
     Attributes:
-        running: Requests.
-        forecast: What they will hold.
+        running: Number of requests.
+        forecast: Forecast of their memory use.
     """
 
     running: float
@@ -66,14 +68,14 @@
 
 
 class EngineView:
-    """State of one engine as this VM believes it to be.
+    """Estimated state of one engine.
 
     Attributes:
         info: The upstream.
-        own: Requests of this VM at the engine.
+        own_requests: Requests of this VM at the engine.
         own_forecast: Sum of their footprints.
-        limit: Concurrency limit, over all VMs.
-        load: Last report, or None.
+        limit: Concurrency limit over all VMs.
+        load: Last load report, or None.
     """
 
     def __init__(self, info: kernel_events.UpstreamInfo) -> None:
@@ -93,19 +95,19 @@
         self.peer_load_expires_ms = -math.inf
 
     def add_request(self, request: ActiveRequest) -> None:
-        """Note a dispatch of this VM."""
+        """Add a request that this VM dispatched."""
         self.own_requests[request.profile.request] = request
         self.own_forecast.add(request.footprint)
 
     def remove_request(self, request: ids.RequestId) -> ActiveRequest | None:
-        """Note that a request holds the engine no more."""
+        """Remove a request that no longer occupies the engine."""
         removed = self.own_requests.pop(request, None)
         if removed is not None:
             self.own_forecast.add(removed.footprint, -1)
         return removed
 
     def refresh_forecasts(self) -> None:
-        """Forecast anew the requests that have grown since."""
+        """Update the forecasts of requests with enough new output."""
         for request in self.own_requests.values():
             if (
                 request.produced - request.forecast_produced
@@ -114,14 +116,14 @@
                 self._refresh_forecast(request)
 
     def update_load(self, load: messages.EngineLoad, now_ms: float) -> int:
-        """Take in a load report.
+        """Process a load report.
 
         Args:
             load: The report.
             now_ms: The present time.
 
         Returns:
-            Preemptions since the report before.
+            Number of preemptions since the previous report.
         """
         before = self.load
         if before is not None and load.at_ms < before.at_ms:
@@ -139,7 +141,7 @@
     def add_digest(
         self, digest: messages.DigestReceived, now_ms: float
     ) -> None:
-        """Take in what a peer holds at the engine."""
+        """Store a peer's digest of its load at the engine."""
         self.peer_digests[digest.vm] = PeerDigest(digest, now_ms)
         self.last_digest_ms = now_ms
         self.peer_load_cache = None
@@ -147,11 +149,11 @@
     def peer_load(
         self, typical: memory.MemoryForecast, now_ms: float
     ) -> PeerLoad:
-        """Return what other VMs are believed to have at the engine.
+        """Return the estimated load of other VMs at the engine.
 
         Args:
-            typical: Forecast of a typical running request, by which
-                what is only known in sum is drawn out in time.
+            typical: Forecast of a typical running request, used to project
+                peer load that is known only as a present total.
             now_ms: The present time.
         """
         if self.peer_load_cache is None or now_ms >= self.peer_load_expires_ms:
@@ -160,7 +162,7 @@
         return self.peer_load_cache
 
     def share(self) -> messages.UpstreamShare:
-        """Return what the peers are told of this VM's requests."""
+        """Return this VM's load at the engine, to announce to peers."""
         held = int(self.own_forecast.means[0])
         return messages.UpstreamShare(
             self.info.upstream, len(self.own_requests), held
@@ -190,8 +192,8 @@
     def _update_unannounced(
         self, load: messages.EngineLoad, now_ms: float
     ) -> None:
-        # Peers in other zones do not tell this VM what they hold; what
-        # the report shows beyond what was told is theirs.
+        # Peers in other zones send no digests to this VM. Reported load
+        # that no digest accounts for is attributed to them.
         running, held = self._announced_totals(now_ms)
         running = (
             load.running + load.waiting - running - len(self.own_requests)
--- a/eelgrassknot/policy/health.py
+++ b/eelgrassknot/policy/health.py
@@ -1,11 +1,11 @@
-"""Ejection, trial return and slow start of upstreams.
+"""Outlier ejection, probation and slow start of upstreams.
 
-An upstream that fails several times in a row is ejected at once; one
-that is slow against its peers (a gray failure) is ejected when the
-evidence is clear. One that answers nobody gets no new work meanwhile.
-After a back-off an ejected one returns on trial with a low allowance that
-doubles while it does well. At least half of a service's upstreams stay in
-use, so ejection can never empty a service.
+An upstream is ejected after several consecutive failures, or when it is
+significantly slower than its peers (a gray failure). An upstream that
+answers no request gets no new work in the meantime. After a back-off, an
+ejected upstream returns on probation with a low allowance that doubles as
+time passes. At least half of a service's upstreams stay in use, so that
+ejection cannot remove all of them.
 
 References:
     Huang et al., "Gray Failure: The Achilles' Heel of Cloud-Scale
@@ -32,18 +32,22 @@
 ALLOWANCE_DOUBLING_MS = 2_000.0
 FULL_ALLOWANCE = 256.0
 UNRESPONSIVE_MS = 500.0
-"""An upstream that has sent nothing for so long, though asked, is mute; ms.
-Ten times the work of a call, which leaves room for a queue."""
+"""Time without any response to pending requests after which an upstream
+counts as unresponsive; ms. Ten times the duration of a call, to allow for
+queueing."""
 
 
 class UpstreamHealth:
-    """What is known of one upstream's health.
+    """Health of one upstream.
 
     Attributes:
-        samples: How many observations have come.
-        returned_ms: When its slow start began.
-        asked: Calls that it has not begun to answer.
-        unheard_ms: Since when it has sent nothing while asked, or None.
+        failures: Number of consecutive failures.
+        ejections: Number of ejections, which sets the next back-off.
+        sample_count: Number of token observations.
+        slow_start_ms: Start of its slow start.
+        unanswered: Requests without a first response byte yet.
+        silent_since_ms: Time from which it has sent nothing although
+            requests are pending, or None.
     """
 
     def __init__(self, slow_start_ms: float) -> None:
@@ -59,15 +63,15 @@
 
     @property
     def interval_ms(self) -> float:
-        """Smoothed time that it takes to produce one token."""
+        """Smoothed time per output token."""
         return self.token_time_ms / self.tokens if self.tokens else 0.0
 
     def record_tokens(self, count: int, span_ms: float) -> None:
-        """Take in that one stream produced tokens.
+        """Record output tokens of one stream.
 
         Args:
-            count: How many.
-            span_ms: Time since that stream's tokens before.
+            count: Number of tokens.
+            span_ms: Time since the previous tokens of that stream.
         """
         self.sample_count += 1
         self.tokens += count
@@ -77,13 +81,13 @@
             self.token_time_ms *= 0.5
 
     def is_unresponsive(self, now_ms: float) -> bool:
-        """Return whether it answers nobody."""
+        """Return whether it has left all requests unanswered too long."""
         if self.silent_since_ms is None:
             return False
         return now_ms - self.silent_since_ms > UNRESPONSIVE_MS
 
     def allowance(self, now_ms: float) -> float:
-        """Return how many requests it may run in its slow start."""
+        """Return how many requests it may run during slow start."""
         age_ms = now_ms - self.slow_start_ms
         doublings = age_ms / ALLOWANCE_DOUBLING_MS
         if doublings > 8:
@@ -92,7 +96,7 @@
 
 
 class HealthTracker:
-    """Health of all upstreams that a VM uses."""
+    """Tracks the health of all upstreams that a VM uses."""
 
     def __init__(self) -> None:
         self.upstreams: dict[ids.UpstreamId, UpstreamHealth] = {}
@@ -101,13 +105,13 @@
     def get_or_create(
         self, upstream: ids.UpstreamId, now_ms: float, slow_start: bool
     ) -> UpstreamHealth:
-        """Return an upstream's health, made if need be.
+        """Return an upstream's health, created on first use.
 
         Args:
             upstream: The upstream.
             now_ms: The present time.
-            fresh: Whether it has just joined a running service, so that
-                it starts slowly.
+            slow_start: Whether it has just joined a running service and
+                is subject to slow start.
         """
         found = self.upstreams.get(upstream)
         if found is None:
@@ -116,16 +120,16 @@
         return found
 
     def forget(self, upstream: ids.UpstreamId) -> None:
-        """Forget an upstream that has gone."""
+        """Remove an upstream that is gone."""
         self.upstreams.pop(upstream, None)
 
     def usable(
         self, upstreams: Sequence[ids.UpstreamId], now_ms: float
     ) -> list[ids.UpstreamId]:
-        """Return those that may be used, never fewer than the floor.
+        """Return the usable upstreams, at least ``MIN_IN_USE_SHARE`` of all.
 
         Args:
-            upstreams: Upstreams of one service in reach.
+            upstreams: Reachable upstreams of one service.
             now_ms: The present time.
         """
         healthy = []
@@ -146,20 +150,20 @@
         return healthy
 
     def record_failure(self, upstream: ids.UpstreamId, now_ms: float) -> None:
-        """Count a failed attempt to use an upstream."""
+        """Record a failed attempt; eject after consecutive failures."""
         health = self.get_or_create(upstream, now_ms, False)
         health.failures += 1
         if health.failures >= FAILURES_TO_EJECT:
             self._eject(health, now_ms)
 
     def record_success(self, upstream: ids.UpstreamId) -> None:
-        """Count an answer, which ends a row of failures."""
+        """Record a response, which resets the count of failures."""
         health = self.upstreams.get(upstream)
         if health is not None:
             health.failures = 0
 
     def request_sent(self, upstream: ids.UpstreamId, now_ms: float) -> None:
-        """Count a call that an upstream is to answer."""
+        """Record a request that an upstream has yet to answer."""
         health = self.get_or_create(upstream, now_ms, False)
         health.unanswered += 1
         if health.silent_since_ms is None:
@@ -168,14 +172,14 @@
     def response_started(
         self, upstream: ids.UpstreamId, now_ms: float
     ) -> None:
-        """Count the first bytes of an answer."""
+        """Record the first bytes of a response."""
         health = self.upstreams.get(upstream)
         if health is not None:
             health.unanswered = max(0, health.unanswered - 1)
             health.silent_since_ms = now_ms if health.unanswered else None
 
     def request_abandoned(self, upstream: ids.UpstreamId) -> None:
-        """Count a call that waits no longer for its answer."""
+        """Record that a request no longer awaits its response."""
         health = self.upstreams.get(upstream)
         if health is not None:
             health.unanswered = max(0, health.unanswered - 1)
@@ -183,25 +187,25 @@
                 health.silent_since_ms = None
 
     def is_unresponsive(self, upstream: ids.UpstreamId, now_ms: float) -> bool:
-        """Return whether an upstream answers nobody at this time."""
+        """Return whether an upstream is currently unresponsive."""
         health = self.upstreams.get(upstream)
         return health is not None and health.is_unresponsive(now_ms)
 
     def eject(self, upstream: ids.UpstreamId, now_ms: float) -> None:
-        """Eject an upstream on evidence that needs no repetition."""
+        """Eject an upstream at once, whatever its number of failures."""
         self._eject(self.get_or_create(upstream, now_ms, False), now_ms)
 
     def eject_slow(
         self, upstreams: Sequence[ids.UpstreamId], now_ms: float
     ) -> list[ids.UpstreamId]:
-        """Eject those that are far slower than their peers.
+        """Eject upstreams that are much slower than their peers.
 
         Args:
             upstreams: Upstreams of one service.
             now_ms: The present time.
 
         Returns:
-            Those that were ejected now.
+            The upstreams that were ejected.
         """
         known = [
             upstream
@@ -225,12 +229,12 @@
         return slow
 
     def allowance(self, upstream: ids.UpstreamId, now_ms: float) -> float:
-        """Return how many requests an upstream may run now."""
+        """Return how many requests an upstream may currently run."""
         health = self.upstreams.get(upstream)
         return math.inf if health is None else health.allowance(now_ms)
 
     def is_ejected(self, upstream: ids.UpstreamId, now_ms: float) -> bool:
-        """Return whether an upstream is ejected at this time."""
+        """Return whether an upstream is currently ejected."""
         health = self.upstreams.get(upstream)
         if health is None or health.ejected_until_ms is None:
             return False
--- a/eelgrassknot/policy/length.py
+++ b/eelgrassknot/policy/length.py
@@ -1,10 +1,10 @@
 """Prediction of output lengths from finished and running requests.
 
-An output's length is only known once it has ended, and long outputs are
-still running when short ones have long been counted. Each histogram
-therefore keeps hazards (how many of those that reached a length ended
-there), in which running and cancelled requests count as far as they
-came: the actuarial form of the Kaplan-Meier estimator.
+The length of an output is known only when it has ended, so a plain
+histogram of finished outputs is biased towards short ones. Each histogram
+here estimates hazards: of the requests that reached a length, the share
+that ended there. Running and cancelled requests count up to the length
+they reached. This is the actuarial form of the Kaplan-Meier estimator.
 
 References:
     Kaplan and Meier, "Nonparametric Estimation from Incomplete
@@ -57,13 +57,15 @@
 
 
 class SurvivalHistogram:
-    """Decayed hazards of output length, leaning on a coarser histogram.
+    """Exponentially decayed hazards of output length.
 
-    Old observations lose weight by growing the weight of new ones, so
-    that adding one costs the same however many there are.
+    The hazards of a coarser histogram serve as the prior. Decay is done by
+    increasing the weight of new observations, so that adding one takes
+    constant time.
 
     Args:
-        parent: Histogram of the coarser class, or None for the prior.
+        parent: Histogram of the coarser class, or None for the fixed
+            prior.
     """
 
     def __init__(self, parent: 'SurvivalHistogram | None') -> None:
@@ -79,11 +81,11 @@
         self.curve_version = 0
 
     def record_reached(self, first: int, last: int, now_ms: float) -> None:
-        """Count a request as having reached bins.
+        """Record that a request has reached a range of bins.
 
         Args:
-            first: Index of the first bin that it newly reached.
-            last: Index of the last one.
+            first: Index of the first newly reached bin.
+            last: Index of the last newly reached bin.
             now_ms: The present time.
         """
         weight = self._weight_at(now_ms)
@@ -91,11 +93,11 @@
             self.exposure[index] += weight
 
     def record_end(self, index: int, now_ms: float) -> None:
-        """Count a request as having ended of itself in a bin."""
+        """Record that a request completed in a bin."""
         self.ends[index] += self._weight_at(now_ms)
 
     def update_curve(self, now_ms: float) -> None:
-        """Bring the survival curve up to date, at most once a second."""
+        """Recompute the survival curve, at most once a second."""
         if now_ms - self.last_update_ms < REBUILD_INTERVAL_MS:
             return
         self.last_update_ms = now_ms
@@ -116,7 +118,7 @@
         self.curve_version += 1
 
     def survival_at(self, tokens: float) -> float:
-        """Return the chance that an output is longer than ``tokens``."""
+        """Return the probability that an output exceeds ``tokens``."""
         if tokens <= 1:
             return 1.0
         place = math.log2(tokens) * BINS_PER_DOUBLING
@@ -128,7 +130,7 @@
         return low + (high - low) * (place - index)
 
     def mean(self) -> float:
-        """Return the expected length of an output in tokens."""
+        """Return the expected output length in tokens."""
         total = 1.0
         for index in range(BIN_COUNT):
             width = _EDGES[index + 1] - _EDGES[index]
@@ -153,10 +155,12 @@
 
 
 class LengthClass:
-    """A class of requests: its histogram and those of coarser classes.
+    """A class of requests with its histogram and those of its ancestors.
 
     Attributes:
-        finest: Histogram that answers questions on this class.
+        histograms: Histograms that observations are added to, coarsest
+            first.
+        finest: Histogram of this class, used for predictions.
     """
 
     def __init__(self, histograms: tuple[SurvivalHistogram, ...]) -> None:
@@ -166,12 +170,12 @@
         self.probabilities_version = -1
 
     def record_start(self, now_ms: float) -> None:
-        """Count a request that has started."""
+        """Record the start of a request."""
         for histogram in self.histograms:
             histogram.record_reached(0, 0, now_ms)
 
     def record_progress(self, before: int, after: int, now_ms: float) -> None:
-        """Count a running request's way from one length to another."""
+        """Record the growth of a running request's output."""
         first = _bin_of(before)
         last = _bin_of(after)
         if last == first:
@@ -180,21 +184,22 @@
             histogram.record_reached(first + 1, last, now_ms)
 
     def record_end(self, produced: int, now_ms: float) -> None:
-        """Count a request that ended of itself; others need no word."""
+        """Record the completion of a request; not called if cut short."""
         index = _bin_of(produced)
         for histogram in self.histograms:
             histogram.record_end(index, now_ms)
 
     @property
     def expected(self) -> float:
-        """Expected length of an output in tokens."""
+        """Expected output length in tokens."""
         return self.finest.expected
 
     def survival_at_all(self, lengths: tuple[int, ...]) -> tuple[float, ...]:
-        """Return the chance that a new output outlasts each length.
+        """Return the probability that a new output exceeds each length.
 
         Args:
-            lengths: Lengths in tokens; always the same ones.
+            lengths: Lengths in tokens. The result is cached per version of
+                the curve, so all calls must pass the same lengths.
         """
         finest = self.finest
         if self.probabilities_version != finest.curve_version:
@@ -203,10 +208,10 @@
         return self.probabilities
 
     def probability_of_more(self, ahead: float, produced: int) -> float:
-        """Return the chance of at least ``ahead`` more tokens.
+        """Return the probability of at least ``ahead`` more tokens.
 
         Args:
-            ahead: Tokens from now.
+            ahead: Number of further tokens.
             produced: Tokens produced so far.
         """
         current = self.finest.survival_at(produced)
@@ -218,8 +223,9 @@
 class LengthPredictor:
     """Histograms by (service, client account, class of prompt size).
 
-    A thin class leans on its client account's, that one on its
-    service's, and that one on a broad prior.
+    A class with few observations falls back on the histogram of its client
+    account, which falls back on that of the service, which in turn falls
+    back on a broad log-normal prior.
 
     Example:
         >>> predictor = LengthPredictor()
@@ -235,7 +241,7 @@
     def length_class(
         self, service: str, account: str, prompt_tokens: int, now_ms: float
     ) -> LengthClass:
-        """Return the class of a request, with its curve up to date.
+        """Return the class of a request, with a current survival curve.
 
         Args:
             service: Name of the service.
--- a/eelgrassknot/policy/limits.py
+++ b/eelgrassknot/policy/limits.py
@@ -1,17 +1,18 @@
-"""Limits of client accounts, shared over the entry VMs.
-
-Each VM spends from its own share of an account's limit, so no request
-waits for another VM's word. A zone's part goes by the number of its VMs;
-within the zone shares follow the demand that VMs tell each other. A VM
-that no longer hears a peer keeps its last shares, so that the two sides
-of a partition together stay within the limit that was in force.
-
-Overshoot: while all have heard the same demand the shares add up to
-one. When demand moves, for one exchange interval T a limit of r a second
-may be exceeded by at most r * T * (V - 1) / V over V VMs, since no share
-exceeds one; besides it by one burst a VM, which is two seconds of its
-share or four requests, and for tokens, which are charged as they stream,
-by a minute's share and what was running when the bucket ran empty.
+"""Rate limits of client accounts, divided among the entry VMs.
+
+Each VM enforces its own share of an account's limit, so that admission
+needs no communication. A zone's share is proportional to its number of
+VMs; within a zone, shares follow the demand that the VMs announce to each
+other. A VM that loses contact with a peer keeps its last shares, so that
+the two sides of a partition together stay within the limit.
+
+Overshoot: while all VMs know the same demands, the shares add up to one.
+When demand shifts, V VMs may exceed a limit of r requests per second by at
+most r * T * (V - 1) / V during one exchange interval T, since no share
+exceeds one. In addition each VM may admit one burst, which is two seconds
+of its share or four requests. Tokens are charged as they stream, so the
+token limit may be exceeded by one minute's share plus the output of the
+requests that were running when the bucket became empty.
 """
 
 from eelgrassknot import clock
@@ -22,8 +23,8 @@
 __all__ = ['AccountLimits']
 
 BURST_S = 2.0
-# Requests come at random: a VM with a small share would otherwise refuse
-# an account that stays well below its limit.
+# Arrivals are random: with a smaller burst, a VM with a small share would
+# refuse requests of an account that stays well below its limit.
 MIN_BURST_REQUESTS = 4.0
 TOKEN_BURST_S = 60.0
 SECONDS_PER_MINUTE = 60.0
@@ -34,11 +35,11 @@
 
 
 class AccountShare:
-    """One account's buckets at this VM.
+    """Token buckets and demand of one account at this VM.
 
     Args:
-        account: The account as the text has it.
-        share: Share of the limits that this VM starts with.
+        account: The account's entry in the services text.
+        share: Initial share of the limits for this VM.
     """
 
     def __init__(
@@ -59,7 +60,7 @@
         share: float,
         now_ms: float,
     ) -> None:
-        """Take in new limits or a new share of them."""
+        """Apply new limits or a new share of them."""
         self.account = account
         self.share = share
         rate = account.requests_per_second
@@ -78,23 +79,24 @@
         )
 
     def record_request(self, now_ms: float) -> None:
-        """Count a request in the account's demand at this VM."""
+        """Add a request to the account's demand at this VM."""
         self.demand_per_s = self.demand(now_ms) + 1 / _demand_mean_lifetime_s()
         self.demand_ms = now_ms
 
     def demand(self, now_ms: float) -> float:
-        """Return the smoothed requests a second at this VM."""
+        """Return the smoothed request rate at this VM, per second."""
         age_ms = now_ms - self.demand_ms
         return self.demand_per_s * 0.5 ** (age_ms / DEMAND_HALF_LIFE_MS)
 
 
 class AccountLimits:
-    """Limits of all accounts at this VM.
+    """Rate limits of all accounts at this VM.
 
     Attributes:
-        vm_count: Entry VMs of the deployment, which share the limits.
-        zone_count: Those of this zone, which tell each other their
-            demand; a zone's part of the limits goes by their number.
+        vm_count: Number of entry VMs of the deployment.
+        zone_count: Number of entry VMs of this zone, which announce their
+            demand to each other. A zone's share of the limits is
+            proportional to it.
     """
 
     def __init__(self) -> None:
@@ -109,7 +111,7 @@
         accounts: tuple[services_text.ClientAccount, ...],
         now_ms: float,
     ) -> None:
-        """Take in the accounts of another services text."""
+        """Apply the accounts of a new services text."""
         known = self.shares
         self.shares = {}
         for account in accounts:
@@ -122,11 +124,11 @@
             self.shares[name] = share
 
     def admit(self, account: ids.ClientAccountId, now_ms: float) -> float:
-        """Return 0 if a request may come in now, else the wait in ms.
+        """Return 0 if a request is admitted, else the time to wait in ms.
 
         Args:
-            account: Account of the request, which is counted as demand
-                either way.
+            account: Account of the request, which counts as demand in
+                both cases.
             now_ms: The present time.
         """
         share = self.shares.get(account)
@@ -145,13 +147,13 @@
     def charge(
         self, account: ids.ClientAccountId, tokens: int, now_ms: float
     ) -> None:
-        """Charge tokens as they stream."""
+        """Charge output tokens as they are streamed."""
         share = self.shares.get(account)
         if share is not None and share.tokens_bucket is not None:
             share.tokens_bucket.spend(tokens, now_ms)
 
     def demands(self, now_ms: float) -> dict[ids.ClientAccountId, float]:
-        """Return what this VM tells its peers: requests a second."""
+        """Return the request rates per account to announce to peers."""
         return {
             name: share.demand(now_ms)
             for name, share in self.shares.items()
@@ -161,11 +163,11 @@
     def set_vm_counts(
         self, count: int, zone_count: int, now_ms: float
     ) -> None:
-        """Take in how many VMs share the limits.
+        """Set the numbers of VMs that share the limits.
 
         Args:
             count: Entry VMs of the deployment.
-            zone_count: Those of this zone.
+            zone_count: Entry VMs of this zone.
             now_ms: The present time.
         """
         before = self.zone_count / self.vm_count
@@ -183,7 +185,7 @@
             share.resize(share.account, min(1.0, part), now_ms)
 
     def record_peer_contact(self, vm: ids.VmId, now_ms: float) -> None:
-        """Note that a peer of this zone was heard, whatever it said."""
+        """Record contact with a peer of this zone."""
         self.peer_contact_ms[vm] = now_ms
 
     def record_peer_demand(
@@ -193,14 +195,14 @@
         requests_per_s: float,
         now_ms: float,
     ) -> None:
-        """Take in what a peer says of an account's demand."""
+        """Record an account's demand as announced by a peer."""
         self.record_peer_contact(vm, now_ms)
         share = self.shares.get(account)
         if share is not None:
             share.peer_demands[vm] = requests_per_s
 
     def rebalance(self, now_ms: float) -> None:
-        """Share the limits anew by demand, if enough time has passed."""
+        """Recompute the shares from demand if the interval has elapsed."""
         if now_ms - self.last_rebalance_ms < REBALANCE_INTERVAL_MS:
             return
         self.last_rebalance_ms = now_ms
--- a/eelgrassknot/policy/messages.py
+++ b/eelgrassknot/policy/messages.py
@@ -1,4 +1,4 @@
-"""Events that the dispatcher is told and actions that it returns."""
+"""Events that the dispatcher handles and actions that it returns."""
 
 import dataclasses
 
@@ -38,14 +38,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestProfile:
-    """What is known of a request before it runs.
+    """Properties of a request that are known before it runs.
 
     Attributes:
         prompt_tokens: Estimated size of the prompt.
-        prefixes: Hashes of the prompt's first 256, 512, ... bytes, the
+        prefixes: Hashes of the prompt's first 256, 512, ... bytes,
             shortest first; empty for plain calls.
-        max_tokens: Bound on the output, or None if the caller set none.
-        deadline_ms: Time by which the caller wants an answer, on the
+        max_tokens: Upper bound of the output, or None if the caller set
+            none.
+        deadline_ms: Time by which the caller needs the response, on the
             clock of this VM, or None.
     """
 
@@ -62,11 +63,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """An upstream's own report of its load.
+    """A load report of an upstream.
 
     Attributes:
-        at_ms: Time of the report on the upstream's own clock, which can
-            only be compared with other reports of the same upstream.
+        at_ms: Time of the report on the upstream's clock; comparable only
+            with other reports of the same upstream.
     """
 
     upstream: ids.UpstreamId
@@ -81,14 +82,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A request wants an upstream."""
+    """A request that needs an upstream has arrived."""
 
     profile: RequestProfile
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryRequested:
-    """A dispatched request needs another upstream; it has not run."""
+    """A dispatched request has not run and needs another upstream."""
 
     request: ids.RequestId
     failed: ids.UpstreamId
@@ -96,14 +97,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestCancelled:
-    """A queued request is no longer wanted."""
+    """A queued request was cancelled."""
 
     request: ids.RequestId
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FirstTokenReceived:
-    """The first token of a dispatched request has come."""
+    """The first token of a dispatched request was received."""
 
     request: ids.RequestId
 
@@ -118,10 +119,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GapObserved:
-    """A token came late.
+    """A token arrived late.
 
     Attributes:
-        gap_ms: Time since the token before it.
+        gap_ms: Time since the previous token.
     """
 
     request: ids.RequestId
@@ -130,11 +131,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestEnded:
-    """A dispatched request holds its upstream no more.
+    """A dispatched request no longer occupies its upstream.
 
     Attributes:
-        complete: Whether the upstream finished it, so that the length
-            of its output is the true one.
+        complete: Whether the upstream completed it, so that the length of
+            its output is a valid observation.
     """
 
     request: ids.RequestId
@@ -150,19 +151,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReported:
-    """A load report came, directly or by way of a peer's digest."""
+    """A load report arrived, directly or in a peer's digest."""
 
     load: EngineLoad
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DigestReceived:
-    """A peer said what it holds at an upstream by its own dispatches.
+    """A peer announced the load of its own dispatches at an upstream.
 
     Attributes:
-        running: Requests that it has there.
-        expected_tokens: Memory in tokens that they hold there by what
-            the peer knows: their prompts and their output so far.
+        running: Number of its requests at the upstream.
+        expected_tokens: Memory in tokens that these occupy as far as the
+            peer knows: their prompts and their output so far.
     """
 
     vm: ids.VmId
@@ -173,7 +174,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerDemandReceived:
-    """A peer said how much of its traffic a client account makes."""
+    """A peer announced the request rate of a client account."""
 
     vm: ids.VmId
     client_account: ids.ClientAccountId
@@ -182,12 +183,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmCountsChanged:
-    """How many entry VMs, this one among them, share limits and link.
+    """Number of entry VMs, including this one, that share limits and link.
 
     Attributes:
         count: Entry VMs of the whole deployment.
-        zone_count: Those of this VM's zone, which tell it their demand;
-            None if all of them do.
+        zone_count: Entry VMs of this VM's zone, which announce their
+            demand to it; None if all VMs do.
     """
 
     count: int
@@ -196,7 +197,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEventsReceived:
-    """Prefixes that an engine stored or evicted; late, with gaps."""
+    """Prefixes that an engine stored or evicted; delayed and incomplete."""
 
     upstream: ids.UpstreamId
     stored: tuple[str, ...]
@@ -205,21 +206,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamsChanged:
-    """The whole set of upstreams, as the membership knows it."""
+    """The complete set of upstreams known to the membership."""
 
     upstreams: tuple[kernel_events.UpstreamInfo, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigChanged:
-    """Another services text is in force."""
+    """A new services text is in force."""
 
     text: services_text.ServicesText
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed."""
+    """The periodic timer has fired."""
 
 
 Event = (
@@ -244,7 +245,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dispatch:
-    """The request is to be sent to an upstream now.
+    """The request must be sent to an upstream now.
 
     Attributes:
         crosses_region: Whether the upstream is in another region.
@@ -257,7 +258,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """The request is refused; it was not run."""
+    """The request is refused and has not run."""
 
     request: ids.RequestId
     reason: states.RefusalReason
@@ -269,7 +270,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamShare:
-    """What this VM holds at an upstream; see DigestReceived."""
+    """Load of this VM's dispatches at an upstream; see DigestReceived."""
 
     upstream: ids.UpstreamId
     running: int
@@ -278,7 +279,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AccountDemand:
-    """How many requests a second a client account sends to this VM."""
+    """Request rate of a client account at this VM."""
 
     client_account: ids.ClientAccountId
     requests_per_second: float
@@ -286,7 +287,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Announcement:
-    """What this VM tells its peers in each exchange of digests."""
+    """State that this VM announces to its peers in each digest exchange."""
 
     upstreams: tuple[UpstreamShare, ...]
     demands: tuple[AccountDemand, ...]
--- a/eelgrassknot/policy/placement.py
+++ b/eelgrassknot/policy/placement.py
@@ -1,9 +1,9 @@
 """Choice of an engine for a generation.
 
-Of a few sampled engines (so that VMs with the same old view do not all
-choose the same one) and those that hold the prompt's prefix, it takes the
-one with the lowest cost among those whose memory, by forecast, will hold
-the request.
+The candidates are a few randomly sampled engines, so that VMs with the
+same stale view do not all choose the same engine, and the engine preferred
+for the prompt's prefix. The candidate with the lowest cost is chosen among
+those with enough memory for the request according to the forecast.
 """
 
 from collections.abc import Sequence
@@ -37,19 +37,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacementOptions:
-    """Mechanisms that can be turned off, to measure what each brings.
+    """Switches for the mechanisms of placement, used in ablation studies.
 
     Attributes:
-        forecast: Whether memory growth is forecast; else only present
-            memory counts.
-        quantile: Whether a quantile is kept free, and not the mean.
-        affinity: Whether prefixes count.
-        digests: Whether peers' digests count.
-        feedback: Whether the concurrency limit binds.
+        forecast: Whether memory growth is forecast; otherwise only the
+            present memory use counts.
+        quantile: Whether to reserve memory for a quantile of the forecast
+            rather than for its mean.
+        affinity: Whether cached prefixes are taken into account.
+        digests: Whether peers' digests are taken into account.
+        feedback: Whether the concurrency limit is enforced.
         ejection: Whether slow engines are ejected.
-        fairness: Whether accounts' counters order the queue.
-        lane: Whether long prompts prefer few engines.
-        sampled: How many engines are sampled.
+        fairness: Whether the accounts' counters order the queue.
+        long_prompts: Whether long prompts are directed to few engines.
+        sample_size: Number of engines to sample.
     """
 
     forecast: bool = True
@@ -68,8 +69,8 @@
 
     Args:
         availability_zone: Zone of this VM.
-        generator: Source of random choices.
-        options: Mechanisms in use.
+        generator: Random number generator.
+        options: Enabled mechanisms.
     """
 
     def __init__(
@@ -89,10 +90,10 @@
     def update_typical(
         self, views: Sequence[engine_view.EngineView], now_ms: float
     ) -> None:
-        """Bring the forecast of a typical running request up to date.
+        """Update the forecast of a typical running request.
 
-        What other VMs run is only known in sum; it is taken to look like
-        what this VM runs.
+        Only totals are known of the load of other VMs. Their requests are
+        assumed to resemble those of this VM.
 
         Args:
             views: Engines of the service.
@@ -126,15 +127,16 @@
         health_tracker: health.HealthTracker,
         now_ms: float,
     ) -> engine_view.EngineView | None:
-        """Return the engine for a request, or None if all are crowded.
+        """Return the engine for a request, or None if none has room.
 
         Args:
             profile: The request.
-            footprint: What it is expected to hold.
+            footprint: Expected memory use of the request.
             views: Engines that may be used.
-            knobs: Knobs of the service's objective.
-            affinity: Prefixes that the engines hold.
-            book: Health of the engines, for those in slow start.
+            tuning: Placement parameters of the service.
+            affinity: Prefixes cached by the engines.
+            health_tracker: Health of the engines; limits those in slow
+                start.
             now_ms: The present time.
         """
         best = None
@@ -146,8 +148,9 @@
             running = len(view.own_requests) + others.running
             total = _capacity_tokens(view)
             present = view.own_forecast.means[0] + others.forecast.means[0]
-            # The peak is never below what is present, which is cheap to
-            # know; the forecast is made only where it can matter.
+            # The peak is at least the present use, which is cheap to
+            # compute. The forecast is evaluated only if it can change the
+            # result.
             if running and present + prompt > total * USABLE_MEMORY_SHARE:
                 continue
             cost = self._cost(profile, view, tuning, affinity)
@@ -166,7 +169,7 @@
         return best
 
     def running(self, view: engine_view.EngineView, now_ms: float) -> int:
-        """Return how many requests an engine is believed to run."""
+        """Return the estimated number of requests at an engine."""
         others = view.peer_load(self.typical_request, now_ms)
         return int(len(view.own_requests) + others.running)
 
@@ -187,8 +190,8 @@
         views: Sequence[engine_view.EngineView],
         prefixes: tuple[str, ...],
     ) -> engine_view.EngineView | None:
-        # Prompts that begin alike meet again at the same engine, even
-        # where the sample is small against the number of engines.
+        # Prompts with the same prefix are considered for the same engine
+        # even if the sample is small compared to the number of engines.
         if not prefixes or not views or not self.options.affinity:
             return None
         digest = xxhash.xxh64_intdigest(prefixes[0].encode())
--- a/eelgrassknot/policy/retry_budget.py
+++ b/eelgrassknot/policy/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budget: retries are a bounded share of a service's requests.
+"""Retry budget that bounds retries to a share of a service's requests.
 
 References:
     "Site Reliability Engineering", chapter 21 (client-side throttling and
@@ -10,21 +10,20 @@
 RETRIES_PER_REQUEST = 0.2
 MAX_BALANCE = 20.0
 INITIAL_SHARE = 0.25
-"""Part of its share with which a VM starts; a shed call or two can be sent
-again before requests have earned it."""
+"""Share of a VM's budget that is available at its start, so that a few
+rejected calls can be retried before requests have earned retries."""
 
 
 class RetryBudget:
-    """Allowance of retries that requests earn.
+    """Balance of retries that is earned by requests.
 
     Args:
-        retries_per_request: What one request earns.
-        max_balance: Retries that are saved at most.
-        saved: Retries that may be made at the start, or None for as many
-            as are saved at most.
+        retries_per_request: Retries earned by one request.
+        max_balance: Maximum balance.
+        balance: Initial balance, or None for the maximum.
 
     Attributes:
-        saved: Retries that may be made now.
+        balance: Retries that are currently allowed.
     """
 
     def __init__(
@@ -41,12 +40,13 @@
     def for_vm(cls, retries_per_request: float, share: float) -> 'RetryBudget':
         """Return the budget of a VM that has just started.
 
-        It starts with a part of the VM's share and never saves the rest of
-        it: the VM's earlier run may have spent as much just before.
+        Its initial balance is a part of the VM's share and its maximum
+        balance is the rest, because the previous process of the VM may have
+        spent that rest just before the restart.
 
         Args:
-            retries_per_request: What one request earns.
-            share: This VM's share of the burst that all VMs may make.
+            retries_per_request: Retries earned by one request.
+            share: This VM's share of the burst allowed to all VMs.
 
         Example:
             >>> RetryBudget.for_vm(0.2, 8.0).saved
@@ -56,26 +56,26 @@
         return cls(retries_per_request, kept, share * INITIAL_SHARE)
 
     def set_share(self, share: float) -> None:
-        """Follow a change of this VM's share of the burst."""
+        """Set this VM's share of the burst."""
         self.set_max_balance(share * (1 - INITIAL_SHARE))
 
     def set_max_balance(self, max_balance: float) -> None:
-        """Change how many retries are saved at most.
+        """Set the maximum balance; a higher balance is cut to it.
 
         Args:
-            max_balance: This VM's share of what all VMs may save.
+            max_balance: This VM's share of the maximum of all VMs.
         """
         self.max_balance = max_balance
         self.balance = min(self.balance, max_balance)
 
     def earn(self) -> None:
-        """Count a first attempt."""
+        """Record a first attempt."""
         self.balance = min(
             self.max_balance, self.balance + self.retries_per_request
         )
 
     def spend(self) -> bool:
-        """Return whether a retry may be made, and count it if so."""
+        """Return whether a retry is allowed, and deduct it if so."""
         if self.balance < 1.0:
             return False
         self.balance -= 1.0
--- a/tests/policy/crowded.feature
+++ b/tests/policy/crowded.feature
@@ -1,6 +1,6 @@
-Feature: On crowded engines the policy does better than plain rules
+Feature: On overloaded engines the policy outperforms simple rules
 
-  Runs of two simulated minutes before engine models, from a seed.
+  Seeded simulations of up to two minutes with engine models.
 
   Scenario: above capacity there are fewer preemptions and less stall time
     Given the requests of "nadroga" at 18 a second for 120 s
@@ -9,13 +9,13 @@
     And the second has at most a quarter of the first's stall time
     And the second has at least 97 percent of the first's goodput
 
-  Scenario: a lost engine costs no request that had no token yet
+  Scenario: no request without a token is lost with its engine
     Given the requests of "nadroga" at 9 a second for 60 s
     And an engine is lost after 30 s
     When they run under "eelgrassknot"
-    Then every request has ended, is held, waits or was refused
+    Then every request has ended, is running, is queued or was refused
 
   Scenario: the same seed gives the same run
     Given the requests of "lagotermica" at 8 a second for 30 s
     When they run under "eelgrassknot" and under "eelgrassknot"
-    Then both have the same figures
+    Then both runs have the same results
--- a/tests/policy/engine_pairs.feature
+++ b/tests/policy/engine_pairs.feature
@@ -1,21 +1,21 @@
-Feature: A run on one engine, the copy of its memory on another
+Feature: Placement of a run on one engine and of its copy on another
 
-  Scenario: of two engines the one with fewer unread prompts gets the run
+  Scenario: a run goes to the engine with fewer unread prompt tokens
     Given engines a and b in region r with 30000 tokens each
     And a has 1 run of 3000 tokens, all unread
     Then a run of 3000 tokens goes to b
 
-  Scenario: an engine without room gets no run
+  Scenario: a run waits while no engine has room
     Given engines a and b in region r with 30000 tokens each
     And a has 9 runs of 3100 tokens, none unread
     And b has 9 runs of 3200 tokens, none unread
     Then a run of 3000 tokens waits
 
-  Scenario: a run larger than any memory is the engine's to reject
+  Scenario: a run larger than any engine's memory is placed to be rejected there
     Given engines a and b in region r with 30000 tokens each
     Then a run of 50000 tokens goes to a
 
-  Scenario: long runs shun an engine that is alone in its region
+  Scenario: long runs avoid the only engine of a region
     Given engines a and b in region r with 30000 tokens each
     And engine c alone in region q, the region of the VM
     And a has 4 runs of 4000 tokens, none unread
@@ -23,13 +23,13 @@
     Then a run of 3000 tokens and 900 of output, with a copy, goes to a
     And a run of 2500 tokens and 12 of output, without one, goes to c
 
-  Scenario: a copy is kept in the same region, on the emptiest engine
+  Scenario: a copy is kept in the same region, on the least filled engine
     Given engines a, b and d in region r with 30000 tokens each
     And engine c alone in region q, the region of the VM
     And b has 2 runs of 4000 tokens, none unread
     Then the copy of a run of 4000 tokens on a is kept on d
 
-  Scenario: copies leave a quarter of a memory free
+  Scenario: copies leave a quarter of an engine's memory free
     Given engines a and b in region r with 30000 tokens each
     And b has 5 runs of 4000 tokens, none unread
     Then the copy of a run of 4000 tokens on a is kept nowhere
@@ -39,21 +39,21 @@
     Given engines a and b in region r with 30000 tokens each
     Then a run of 4000 tokens on x, which is not listed, is copied to b or a
 
-  Scenario: what peers placed counts until they fall silent
-    Given commitments of this VM and of peer p, told at 0 ms
+  Scenario: commitments of a peer expire when it is silent
+    Given commitments of this VM and of peer p, received at 0 ms
     Then the sums of engine a at 2900 ms hold the runs of both
     And the sums of engine a at 3100 ms hold those of this VM
 
-  Scenario: load pattern of many VMs that place at the same time
+  Scenario: announced sums balance the placements of many VMs
     Given 8 VMs that each place a run a second on 5 engines
-    When their sums are told 40 ms after each placement
+    When their sums are announced 40 ms after each placement
     Then no engine has more than 1.5 times the mean of runs
-    When their sums are never told
-    Then some engine has more runs than with them told
+    When their sums are never announced
+    Then some engine has more runs than with announcements
 
-  Scenario: the more urgent are placed first, then those that came first
+  Scenario: streams are placed by rank and refused at their deadline
     Given a queue in which a rank-1 and then a rank-0 run wait
-    When room for one run comes
+    When room for one run becomes free
     Then the rank-0 run is placed
-    When the time of the other is over
+    When the deadline of the other has passed
     Then the other is refused
--- a/tests/policy/health.feature
+++ b/tests/policy/health.feature
@@ -1,13 +1,13 @@
-Feature: Sick upstreams are ejected, tried again and never all at once
+Feature: Failing upstreams are ejected and return on probation
 
-  Scenario: three failures in a row eject, a success between does not
+  Scenario: three consecutive failures eject an upstream, a success resets them
     Given 4 upstreams
     When "a" fails, fails, succeeds, fails, fails
     Then "a b c d" are in use
     When "a" fails, fails, fails
     Then "b c d" are in use
 
-  Scenario: an ejected upstream returns on trial and goes at once if it fails
+  Scenario: an upstream on probation is ejected again at its first failure
     Given 4 upstreams
     When "a" fails, fails, fails
     And 6000 ms of ejection pass
@@ -16,12 +16,12 @@
     When "a" fails
     Then "b c d" are in use
 
-  Scenario: an upstream that is slow against its peers is ejected
+  Scenario: an upstream much slower than its peers is ejected
     Given 4 upstreams
     When "a" takes 90 ms a token and the others 30 ms
     Then "b c d" are in use
 
-  Scenario: when all are equally slow none is ejected
+  Scenario: no upstream is ejected when all are equally slow
     Given 4 upstreams
     When "a" takes 90 ms a token and the others 90 ms
     Then "a b c d" are in use
--- a/tests/steps/policy_crowded.py
+++ b/tests/steps/policy_crowded.py
@@ -1,4 +1,4 @@
-"""Steps on the policy before engine models."""
+"""Steps that simulate the policy with engine models."""
 
 import behave
 
@@ -75,7 +75,7 @@
     assert second >= first * percent / 100, (first, second)
 
 
-@behave.then('every request has ended, is held, waits or was refused')
+@behave.then('every request has ended, is running, is queued or was refused')
 def none_forgotten(context):
     found = context.world
     waiting = sum(
@@ -90,6 +90,6 @@
     assert profiles == len(found.held) + waiting + found.under_way
 
 
-@behave.then('both have the same figures')
+@behave.then('both runs have the same results')
 def same_figures(context):
     assert context.first == context.second
--- a/tests/steps/policy_dispatcher.py
+++ b/tests/steps/policy_dispatcher.py
@@ -1,4 +1,4 @@
-"""Steps on the dispatcher."""
+"""Steps for the dispatcher."""
 
 import collections
 import dataclasses
@@ -82,7 +82,7 @@
     }
 
 
-@behave.given('a dispatcher before {count:d} engines of {tokens:d} tokens')
+@behave.given('a dispatcher for {count:d} engines of {tokens:d} tokens')
 def given_dispatcher(context, count, tokens):
     context.now_ms = 0.0
     context.actions = collections.defaultdict(list)
@@ -120,7 +120,7 @@
     assert 0 < len(context.before) < len(context.requests)
 
 
-@behave.then('no engine is given more prompt tokens than it holds')
+@behave.then('no engine gets more prompt tokens than its capacity')
 def no_overfull(context):
     given = collections.Counter()
     for action in dispatched(context).values():
@@ -139,7 +139,9 @@
     assert set(dispatched(context)) > context.before
 
 
-@behave.given('{count:d} requests wait and one leaves each second')
+@behave.given(
+    '{count:d} requests are queued and one is dispatched each second'
+)
 def given_waiting(context, count):
     arrive(context, 100, 900, deadline_ms=1e9)
     running = collections.deque(dispatched(context))
@@ -224,7 +226,7 @@
     assert len(dispatched(context)) == len(context.requests)
 
 
-@behave.when('those that wait are cancelled')
+@behave.when('the queued requests are cancelled')
 def cancelled(context):
     for name in set(context.requests) - set(dispatched(context)):
         feed(context, messages.RequestCancelled(name))
@@ -245,14 +247,14 @@
     assert found[0].running == 1 and found[0].expected_tokens == 500
 
 
-@behave.when('a peer says that it holds {tokens:d} tokens at each engine')
+@behave.when('a peer announces {tokens:d} tokens at each engine')
 def peer_holds(context, tokens):
     for name in context.names:
         digest = messages.DigestReceived('peer', name, 5, tokens)
         feed(context, digest)
 
 
-@behave.then('it waits')
+@behave.then('it is queued')
 def waits(context):
     assert context.requests[-1] not in dispatched(context)
     assert context.requests[-1] not in refused(context)
@@ -310,7 +312,7 @@
 
 
 @behave.when(
-    '{span_ms:d} ms pass while the peer still holds {tokens:d} tokens'
+    '{span_ms:d} ms pass and the peer still announces {tokens:d} tokens'
     ' at each engine'
 )
 def time_passes_crowded(context, span_ms, tokens):
--- a/tests/steps/policy_engine_pairs.py
+++ b/tests/steps/policy_engine_pairs.py
@@ -1,4 +1,4 @@
-"""Steps on the placement of runs and their copies."""
+"""Steps for the placement of runs and their copies."""
 
 import random
 
@@ -118,7 +118,7 @@
     assert _copy(context, tokens, 'x', False).upstream in 'ab'
 
 
-@behave.given('commitments of this VM and of peer p, told at 0 ms')
+@behave.given('commitments of this VM and of peer p, received at 0 ms')
 def two_books(context):
     context.book = commitments.Commitments()
     context.book.commit('r1', commitments.Commitment('a', None, 100, 50))
@@ -142,7 +142,7 @@
 
 
 def _simulate(context, told):
-    """Return the largest share of an engine over the mean, at any time."""
+    """Return the largest number of runs at an engine over the mean."""
     generator = random.Random(3)
     books = [commitments.Commitments() for _ in range(8)]
     arrivals = sorted(
@@ -173,13 +173,13 @@
     return max(counts) / (sum(counts) / len(counts))
 
 
-@behave.when('their sums are told 40 ms after each placement')
+@behave.when('their sums are announced 40 ms after each placement')
 def sums_told(context):
     context.told = _simulate(context, True)
     context.share = context.told
 
 
-@behave.when('their sums are never told')
+@behave.when('their sums are never announced')
 def sums_untold(context):
     context.share = _simulate(context, False)
 
@@ -189,7 +189,7 @@
     assert context.share <= 1.5, context.share
 
 
-@behave.then('some engine has more runs than with them told')
+@behave.then('some engine has more runs than with announcements')
 def unevenly(context):
     assert context.share > context.told, (context.share, context.told)
 
@@ -211,7 +211,7 @@
     assert context.queue.step(0.0) == []
 
 
-@behave.when('room for one run comes')
+@behave.when('room for one run becomes free')
 def room_comes(context):
     context.queue.engines = {SERVICE: [_engine('a', 'r', 1_000)]}
     context.told = context.queue.step(1_000.0)
@@ -222,7 +222,7 @@
     assert [t.request for t in context.told] == ['q0'], context.told
 
 
-@behave.when('the time of the other is over')
+@behave.when('the deadline of the other has passed')
 def time_over(context):
     context.told = context.queue.step(5_000.0)
 
--- a/tests/steps/policy_health.py
+++ b/tests/steps/policy_health.py
@@ -1,4 +1,4 @@
-"""Steps on the health of upstreams."""
+"""Steps for the health of upstreams."""
 
 import behave
 
--- a/tests/steps/policy_length.py
+++ b/tests/steps/policy_length.py
@@ -1,4 +1,4 @@
-"""Steps on the prediction of output lengths."""
+"""Steps for the prediction of output lengths."""
 
 import behave
 import hypothesis
@@ -24,7 +24,7 @@
     return found.probability_of_more(200, 0)
 
 
-@behave.given('a predictor that has seen nothing')
+@behave.given('a predictor without observations')
 def seen_nothing(context):
     context.now_ms = 0.0
     context.predictor = length.LengthPredictor()
@@ -51,20 +51,24 @@
     see(context.predictor, count, tokens, context.now_ms)
 
 
-@behave.then('the chance of over 200 tokens is between {low:f} and {high:f}')
+@behave.then(
+    'the probability of over 200 tokens is between {low:f} and {high:f}'
+)
 def chance_between(context, low, high):
     found = chance(context)
     assert low <= found <= high, found
 
 
 @behave.then(
-    'the chance of over 200 tokens for an unknown account is below 0.1'
+    'the probability of over 200 tokens for an unknown account is below 0.1'
 )
 def chance_unknown(context):
     assert chance(context, 'another') < 0.1
 
 
-@behave.then('for any observations chances lie in 0 to 1 and never rise')
+@behave.then(
+    'for any observations probabilities lie in 0 to 1 and never increase'
+)
 def any_observations(context):
     lengths = strategies.lists(strategies.integers(1, 100_000), max_size=30)
 
--- a/tests/steps/policy_limits.py
+++ b/tests/steps/policy_limits.py
@@ -1,4 +1,4 @@
-"""Steps on the limits of client accounts."""
+"""Steps for the rate limits of client accounts."""
 
 import random
 
@@ -74,7 +74,7 @@
     drive(context, [rate] + [0] * (len(context.vms) - 1), span_s)
 
 
-@behave.when('the VMs are cut off from each other')
+@behave.when('the VMs are isolated from each other')
 def vms_cut_off(context):
     context.cut_off = True
     for vm in context.vms:
@@ -83,11 +83,9 @@
 
 
 @behave.then(
-    'together they let through {rate:d} a second within {percent:d} percent'
-)
-@behave.then(
-    'that VM lets through {rate:d} a second within {percent:d} percent'
+    'together they admit {rate:d} a second within {percent:d} percent'
 )
+@behave.then('that VM admits {rate:d} a second within {percent:d} percent')
 def let_through(context, rate, percent):
     found = context.passed / context.span_s
     assert abs(found - rate) <= rate * percent / 100, found
@@ -121,7 +119,7 @@
     assert low * 1_000 <= wait_ms <= high * 1_000, wait_ms
 
 
-@behave.given('they stand in zones of {first:d} and {second:d} VMs')
+@behave.given('they are in zones of {first:d} and {second:d} VMs')
 def given_zones(context, first, second):
     context.zones = [0] * first + [1] * second
     for index, vm in enumerate(context.vms):
@@ -130,7 +128,7 @@
 
 
 @behave.when(
-    '{rate:d} requests a second come to VMs at random for {span_s:d} s'
+    '{rate:d} requests a second arrive at random VMs for {span_s:d} s'
 )
 def come_at_random(context, rate, span_s):
     generator = random.Random(1)
--- a/tests/steps/policy_offering.py
+++ b/tests/steps/policy_offering.py
@@ -1,4 +1,4 @@
-"""Steps on services that depend on others."""
+"""Steps for services that depend on others."""
 
 import random
 
--- a/tests/steps/policy_small_parts.py
+++ b/tests/steps/policy_small_parts.py
@@ -1,4 +1,4 @@
-"""Steps on the smaller parts of the policy."""
+"""Steps for the smaller components of the policy."""
 
 import collections
 import random
@@ -81,7 +81,7 @@
 
 
 @behave.given(
-    'a queue with batch work that has waited 30 s and fresh interactive work'
+    'a queue with batch work that has waited 30 s and new interactive work'
 )
 def given_batch(context):
     counters = fairness.TokenCounters()
@@ -124,7 +124,7 @@
     context.affinity.stored('engine', ('a', 'b', 'c', 'd'))
 
 
-@behave.when('the engine says that it evicted the last 2 prefixes')
+@behave.when('the engine reports the eviction of the last 2 prefixes')
 def evicted(context):
     context.affinity.evicted('engine', ('d', 'c', 'never seen'))
 
@@ -136,7 +136,7 @@
 
 
 @behave.then(
-    'for any run of requests granted bytes stay within rate and burst'
+    'for any sequence of requests granted bytes stay within rate and burst'
 )
 def link_kept(context):
     sizes = strategies.lists(
@@ -211,7 +211,7 @@
 
 
 @behave.given(
-    'a queue that one account has filled while one leaves each second'
+    'a queue that one account has filled while one is dispatched each second'
 )
 def given_flooded(context):
     given_full(context)
@@ -229,8 +229,7 @@
 
 
 @behave.then(
-    'an account of the same weight that was served less waits below'
-    ' {bound_s:d} s'
+    'an account of the same weight with less service waits below {bound_s:d} s'
 )
 def small_waits(context, bound_s):
     profile = queued('next', 'small').profile
@@ -238,7 +237,7 @@
 
 
 @behave.then(
-    'a full budget of {full:d} retries allows {share:d} once its share is '
+    'a full budget of {full:d} retries allows {share:d} once its maximum is '
     '{limit:d}'
 )
 def shrunk_budget(context, full, share, limit):
@@ -248,7 +247,7 @@
 
 
 @behave.then(
-    '{requests:d} requests earn {retries:d} retries, and no more are saved'
+    '{requests:d} requests earn {retries:d} retries, up to the maximum'
 )
 def earned_retries(context, requests, retries):
     for _ in range(requests):
@@ -267,7 +266,7 @@
 
 
 @behave.given(
-    '{vms:d} VMs that share a burst of {burst:d} repeats and a ratio of '
+    '{vms:d} VMs that share a burst of {burst:d} retries and a ratio of '
     '{ratio:g}'
 )
 def sharing_vms(context, vms, burst, ratio):
@@ -280,13 +279,13 @@
 
 @behave.when(
     'each gets {rate:d} requests a second for {length:d} s, and all but '
-    'those of the first {quiet:d} s want a repeat'
+    'those of the first {quiet:d} s need a retry'
 )
 def requests_repeat(context, rate, length, quiet):
     context.rate, context.length, context.quiet = rate, length, quiet
 
 
-@behave.when('all VMs are killed and started again every {gap:d} s')
+@behave.when('all VMs are killed and restarted every {gap:d} s')
 def killed_again(context, gap):
     context.requests, context.repeats = [], []
     budgets = context.start()
@@ -303,7 +302,7 @@
 
 
 @behave.then(
-    'in no {window:d} s there are more repeats than the ratio and the burst '
+    'in no {window:d} s there are more retries than the ratio and the burst '
     'allow'
 )
 def repeats_bounded(context, window):
@@ -315,14 +314,18 @@
         assert repeats <= allowed, (start, repeats, allowed)
 
 
-@behave.given('a book of {count:d} upstreams of which u1 is asked at 0 ms')
+@behave.given(
+    '{count:d} tracked upstreams of which u1 is sent a request at 0 ms'
+)
 def book_of(context, count):
     context.book = health.HealthTracker()
     context.names = [f'u{number}' for number in range(1, count + 1)]
     context.book.request_sent('u1', 0.0)
 
 
-@behave.given('a book of {count:d} upstreams that are all asked at 0 ms')
+@behave.given(
+    '{count:d} tracked upstreams that are all sent a request at 0 ms'
+)
 def book_of_asked(context, count):
     book_of(context, count)
     for name in context.names[1:]:
@@ -341,14 +344,14 @@
         assert 'u1' in context.book.usable(context.names, time_ms)
 
 
-@behave.when('u1 begins to answer at {now:d} ms')
+@behave.when('u1 begins to respond at {now:d} ms')
 def begins_to_answer(context, now):
     context.book.response_started('u1', now)
 
 
 @behave.when(
-    'u1 is asked again every {gap:d} ms and answers one of them {delay:d} ms '
-    'later'
+    'u1 is sent one every {gap:d} ms and begins to answer one each time from '
+    '{delay:d} ms on'
 )
 def asked_again(context, gap, delay):
     context.usable = []
