--- a/eelgrassknot/policy/admission.py
+++ b/eelgrassknot/policy/admission.py
@@ -74,10 +74,10 @@
         accounts = self.accounts()
         if account not in accounts:
             self.counters.raise_to_lowest(account, accounts)
-        lane = self.queues.setdefault(
+        queue = self.queues.setdefault(
             (profile.priority, account), collections.deque()
         )
-        lane.append(queued)
+        queue.append(queued)
         self.size += 1
         if self.size <= MAX_QUEUED:
             return None
@@ -103,8 +103,8 @@
 
     def find(self, request: ids.RequestId) -> QueuedRequest | None:
         """Return the queued request with this ID, or None."""
-        for lane in self.queues.values():
-            for queued in lane:
+        for queue in self.queues.values():
+            for queued in queue:
                 if queued.profile.request == request:
                     return queued
         return None
@@ -113,8 +113,8 @@
         """Return the requests whose deadline has passed."""
         return [
             queued
-            for lane in self.queues.values()
-            for queued in lane
+            for queue in self.queues.values()
+            for queued in queue
             if queued.deadline_ms <= now_ms
         ]
 
@@ -153,10 +153,10 @@
         self, priority: states.Priority
     ) -> dict[ids.ClientAccountId, int]:
         found: collections.Counter = collections.Counter()
-        for (other_priority, account), lane in self.queues.items():
+        for (other_priority, account), queue in self.queues.items():
             urgent = other_priority is states.Priority.INTERACTIVE
             if urgent or other_priority is priority:
-                found[account] += len(lane)
+                found[account] += len(queue)
         return found
 
     def _counter_at_dispatch(
@@ -199,24 +199,26 @@
             return None
         urgent = [
             key
-            for key, lane in self.queues.items()
+            for key, queue in self.queues.items()
             if key[0] is states.Priority.INTERACTIVE
-            or now_ms - lane[0].arrived_ms >= BATCH_AGEING_MS
+            or now_ms - queue[0].arrived_ms >= BATCH_AGEING_MS
         ]
         keys = urgent or list(self.queues)
-        lanes = keys
+        queues = keys
         if self.fair:
             account = self.counters.least_served([key[1] for key in keys])
-            lanes = [key for key in keys if key[1] == account]
-        return min(lanes, key=lambda key: self.queues[key][0].arrived_ms)
+            queues = [key for key in keys if key[1] == account]
+        return min(queues, key=lambda key: self.queues[key][0].arrived_ms)
 
     def _evict_newest(self) -> QueuedRequest:
-        held: collections.Counter = collections.Counter()
-        for (_, account), lane in self.queues.items():
-            held[account] += len(lane)
-        loser = max(held, key=lambda a: (held[a] / self.counters.weight(a), a))
-        lanes = [key for key in self.queues if key[1] == loser]
-        key = min(lanes, key=lambda k: k[0] is states.Priority.INTERACTIVE)
+        counts: collections.Counter = collections.Counter()
+        for (_, account), queue in self.queues.items():
+            counts[account] += len(queue)
+        account = max(
+            counts, key=lambda a: (counts[a] / self.counters.weight(a), a)
+        )
+        queues = [key for key in self.queues if key[1] == account]
+        key = min(queues, key=lambda k: k[0] is states.Priority.INTERACTIVE)
         newest = self.queues[key][-1]
         self.remove(newest)
         return newest
--- a/eelgrassknot/policy/commitments.py
+++ b/eelgrassknot/policy/commitments.py
@@ -115,11 +115,11 @@
         )
         for run in self.runs.values():
             unread = 0 if run.started else run.prompt_tokens
-            here = EngineSums(1, run.tokens, 0, unread)
-            sums[run.upstream] = sums[run.upstream].add(here)
+            own = EngineSums(1, run.tokens, 0, unread)
+            sums[run.upstream] = sums[run.upstream].add(own)
             if run.copy is not None:
-                kept = EngineSums(0, 0, run.tokens, 0)
-                sums[run.copy] = sums[run.copy].add(kept)
+                copied = EngineSums(0, 0, run.tokens, 0)
+                sums[run.copy] = sums[run.copy].add(copied)
         return dict(sums)
 
     def all_sums(
@@ -140,8 +140,10 @@
                 continue
             if peers is not None and peer not in peers:
                 continue
-            for upstream, theirs in sums.items():
-                total[upstream] = total.get(upstream, EngineSums()).add(theirs)
+            for upstream, peer_sums in sums.items():
+                total[upstream] = total.get(upstream, EngineSums()).add(
+                    peer_sums
+                )
         return total
 
     def sums(self, upstream: ids.UpstreamId, now_ms: float) -> EngineSums:
--- a/eelgrassknot/policy/dispatcher.py
+++ b/eelgrassknot/policy/dispatcher.py
@@ -4,12 +4,12 @@
 
 from eelgrassknot import ids
 from eelgrassknot.kernel import events as kernel_events
+from eelgrassknot.policy import dependencies
 from eelgrassknot.policy import engine_pool
 from eelgrassknot.policy import fairness
 from eelgrassknot.policy import health
 from eelgrassknot.policy import limits
 from eelgrassknot.policy import messages
-from eelgrassknot.policy import offering
 from eelgrassknot.policy import placement
 from eelgrassknot.policy import plain
 from eelgrassknot.policy import region_budget
@@ -323,7 +323,7 @@
 
     def _update_unavailable(self) -> None:
         if self.text is not None:
-            self.unavailable = offering.unavailable_dependencies(
+            self.unavailable = dependencies.unavailable_dependencies(
                 self.text, self.upstreams
             )
 
--- a/eelgrassknot/policy/engine_pool.py
+++ b/eelgrassknot/policy/engine_pool.py
@@ -5,6 +5,7 @@
 from eelgrassknot import ids
 from eelgrassknot.kernel import events as kernel_events
 from eelgrassknot.policy import admission
+from eelgrassknot.policy import candidate_engines
 from eelgrassknot.policy import engine_view
 from eelgrassknot.policy import fairness
 from eelgrassknot.policy import health
@@ -14,7 +15,6 @@
 from eelgrassknot.policy import objective
 from eelgrassknot.policy import placement
 from eelgrassknot.policy import prefix
-from eelgrassknot.policy import reach
 from eelgrassknot.policy import region_budget
 from eelgrassknot.settings import text as services_text
 from eelgrassknot import states
@@ -60,7 +60,7 @@
         self.region_budget = link
         self.options = options
         self.views: dict[ids.UpstreamId, engine_view.EngineView] = {}
-        self.candidates = reach.CandidateEngines(
+        self.candidates = candidate_engines.CandidateEngines(
             self.views, region, health_tracker, options.ejection
         )
         self.held_at: dict[ids.RequestId, engine_view.EngineView] = {}
@@ -98,8 +98,8 @@
             else:
                 view.info = info
             self.book.get_or_create(info.upstream, now_ms, fresh)
-        near = [i.upstream for i in infos if i.region == self.region]
-        self.placement.long_prompt_engines.assign(near)
+        local = [i.upstream for i in infos if i.region == self.region]
+        self.placement.long_prompt_engines.assign(local)
         for upstream in list(self.views):
             if upstream not in named:
                 del self.views[upstream]
@@ -146,10 +146,12 @@
     ) -> list[messages.Action]:
         """Place a request on another engine, or queue it again."""
         self.end(profile.request, False, now_ms)
-        for near in (True, False):
-            views = self.candidates.usable(near, now_ms)
-            others = [view for view in views if view.info.upstream != failed]
-            action = self._place(profile, others, now_ms)
+        for local in (True, False):
+            views = self.candidates.usable(local, now_ms)
+            other_views = [
+                view for view in views if view.info.upstream != failed
+            ]
+            action = self._place(profile, other_views, now_ms)
             if action is not None:
                 return [action]
         deadline_ms = profile.deadline_ms
@@ -254,11 +256,11 @@
     def _start(
         self, queued: admission.QueuedRequest, now_ms: float
     ) -> messages.Dispatch | None:
-        near = self.candidates.usable(True, now_ms)
-        action = self._place(queued.profile, near, now_ms)
+        local = self.candidates.usable(True, now_ms)
+        action = self._place(queued.profile, local, now_ms)
         if action is not None:
             return action
-        return self._spill(queued, bool(near), now_ms)
+        return self._spill(queued, bool(local), now_ms)
 
     def _enqueue(
         self, queued: admission.QueuedRequest
@@ -345,11 +347,11 @@
     def _spill(
         self,
         queued: admission.QueuedRequest,
-        has_near: bool,
+        has_local: bool,
         now_ms: float,
     ) -> messages.Dispatch | None:
-        far = self.candidates.usable(False, now_ms)
-        if not far:
+        remote = self.candidates.usable(False, now_ms)
+        if not remote:
             return None
         profile = queued.profile
         length_class = self.predictor.length_class(
@@ -362,11 +364,11 @@
             profile.prompt_tokens, length_class.expected
         )
         waited_ms = now_ms - queued.arrived_ms
-        if has_near and waited_ms < self.region_budget.min_wait_ms(size):
+        if has_local and waited_ms < self.region_budget.min_wait_ms(size):
             return None
         if not self.region_budget.has_room(size, now_ms):
             return None
-        action = self._place(profile, far, now_ms)
+        action = self._place(profile, remote, now_ms)
         if action is not None:
             self.region_budget.spend(size, now_ms)
         return action
--- a/eelgrassknot/policy/health.py
+++ b/eelgrassknot/policy/health.py
@@ -142,10 +142,10 @@
                 healthy.append(upstream)
             else:
                 ejected.append((until_ms, upstream))
-        floor = math.ceil(len(upstreams) * MIN_IN_USE_SHARE)
-        if len(healthy) < floor:
+        minimum = math.ceil(len(upstreams) * MIN_IN_USE_SHARE)
+        if len(healthy) < minimum:
             ejected.sort()
-            missing = floor - len(healthy)
+            missing = minimum - len(healthy)
             healthy.extend(upstream for _, upstream in ejected[:missing])
         return healthy
 
@@ -216,13 +216,13 @@
         ]
         if len(known) < MIN_COMPARED_UPSTREAMS:
             return []
-        usual_ms = statistics.median(
+        median_ms = statistics.median(
             self.upstreams[upstream].interval_ms for upstream in known
         )
         slow = [
             upstream
             for upstream in known
-            if self.upstreams[upstream].interval_ms > SLOW_RATIO * usual_ms
+            if self.upstreams[upstream].interval_ms > SLOW_RATIO * median_ms
         ]
         for upstream in slow:
             self._eject(self.upstreams[upstream], now_ms)
@@ -241,9 +241,9 @@
         return now_ms < health.ejected_until_ms
 
     def _eject(self, health: UpstreamHealth, now_ms: float) -> None:
-        span_ms = FIRST_EJECTION_MS * 2.0**health.ejections
+        backoff_ms = FIRST_EJECTION_MS * 2.0**health.ejections
         health.ejections += 1
-        health.ejected_until_ms = now_ms + min(span_ms, MAX_EJECTION_MS)
+        health.ejected_until_ms = now_ms + min(backoff_ms, MAX_EJECTION_MS)
 
     def _ejected_until(
         self, upstream: ids.UpstreamId, now_ms: float
--- a/eelgrassknot/policy/length.py
+++ b/eelgrassknot/policy/length.py
@@ -106,14 +106,14 @@
             self.parent.update_curve(now_ms)
             base = self.parent.hazards
         strength = PRIOR_STRENGTH * self._weight_at(now_ms)
-        alive = 1.0
+        survival = 1.0
         for index in range(BIN_COUNT):
             ends = self.ends[index] + strength * base[index]
             exposure = self.exposure[index] + strength
             hazard = min(1.0, ends / exposure)
             self.hazards[index] = hazard
-            alive *= 1.0 - hazard
-            self.survival[index + 1] = alive
+            survival *= 1.0 - hazard
+            self.survival[index + 1] = survival
         self.expected = self.mean()
         self.curve_version += 1
 
@@ -121,13 +121,13 @@
         """Return the probability that an output exceeds ``tokens``."""
         if tokens <= 1:
             return 1.0
-        place = math.log2(tokens) * BINS_PER_DOUBLING
-        index = int(place)
+        position = math.log2(tokens) * BINS_PER_DOUBLING
+        index = int(position)
         if index >= BIN_COUNT:
             return 0.0
         low = self.survival[index]
         high = self.survival[index + 1]
-        return low + (high - low) * (place - index)
+        return low + (high - low) * (position - index)
 
     def mean(self) -> float:
         """Return the expected output length in tokens."""
@@ -259,10 +259,10 @@
         return found
 
     def _new_class(self, service: str, account: str) -> LengthClass:
-        whole = self._parent_histogram((service,), None)
-        by_account = self._parent_histogram((service, account), whole)
+        by_service = self._parent_histogram((service,), None)
+        by_account = self._parent_histogram((service, account), by_service)
         finest = SurvivalHistogram(by_account)
-        return LengthClass((whole, by_account, finest))
+        return LengthClass((by_service, by_account, finest))
 
     def _parent_histogram(
         self, key: tuple, parent: SurvivalHistogram | None
--- a/eelgrassknot/policy/placement.py
+++ b/eelgrassknot/policy/placement.py
@@ -17,10 +17,10 @@
 from eelgrassknot.policy import engine_view
 from eelgrassknot.policy import health
 from eelgrassknot.policy import length
+from eelgrassknot.policy import long_prompts
 from eelgrassknot.policy import memory
 from eelgrassknot.policy import messages
 from eelgrassknot.policy import objective
-from eelgrassknot.policy import prefill_lane
 from eelgrassknot.policy import prefix
 from eelgrassknot.settings import text as services_text
 
@@ -82,7 +82,7 @@
         self.availability_zone = availability_zone
         self.generator = generator
         self.options = options
-        self.long_prompt_engines = prefill_lane.LongPromptEngines()
+        self.long_prompt_engines = long_prompts.LongPromptEngines()
         self.typical_request = _prior_forecast()
         self.has_observed = False
         self.last_typical_ms = -TYPICAL_INTERVAL_MS
--- a/eelgrassknot/policy/retry_budget.py
+++ b/eelgrassknot/policy/retry_budget.py
@@ -52,8 +52,8 @@
             >>> RetryBudget.for_vm(0.2, 8.0).saved
             2.0
         """
-        kept = share * (1 - INITIAL_SHARE)
-        return cls(retries_per_request, kept, share * INITIAL_SHARE)
+        max_balance = share * (1 - INITIAL_SHARE)
+        return cls(retries_per_request, max_balance, share * INITIAL_SHARE)
 
     def set_share(self, share: float) -> None:
         """Set this VM's share of the burst."""
--- a/tests/steps/policy_engine_pairs.py
+++ b/tests/steps/policy_engine_pairs.py
@@ -119,21 +119,23 @@
 
 
 @behave.given('commitments of this VM and of peer p, received at 0 ms')
-def two_books(context):
-    context.book = commitments.Commitments()
-    context.book.commit('r1', commitments.Commitment('a', None, 100, 50))
-    theirs = {'a': commitments.EngineSums(2, 500, 0, 0)}
-    context.book.update_peer('p', theirs, 0.0)
+def commitments_of_two(context):
+    context.commitments = commitments.Commitments()
+    context.commitments.commit(
+        'r1', commitments.Commitment('a', None, 100, 50)
+    )
+    peer_sums = {'a': commitments.EngineSums(2, 500, 0, 0)}
+    context.commitments.update_peer('p', peer_sums, 0.0)
 
 
 @behave.then('the sums of engine a at {now_ms:d} ms hold the runs of both')
 def sums_of_both(context, now_ms):
-    assert context.book.sums('a', now_ms).runs == 3
+    assert context.commitments.sums('a', now_ms).runs == 3
 
 
 @behave.then('the sums of engine a at {now_ms:d} ms hold those of this VM')
 def sums_of_one(context, now_ms):
-    assert context.book.sums('a', now_ms).runs == 1
+    assert context.commitments.sums('a', now_ms).runs == 1
 
 
 @behave.given('8 VMs that each place a run a second on 5 engines')
@@ -141,10 +143,10 @@
     context.engines = [_engine(f'e{n}', 'r', 10**6) for n in range(5)]
 
 
-def _simulate(context, told):
+def _simulate(context, announced):
     """Return the largest number of runs at an engine over the mean."""
     generator = random.Random(3)
-    books = [commitments.Commitments() for _ in range(8)]
+    all_commitments = [commitments.Commitments() for _ in range(8)]
     arrivals = sorted(
         (generator.uniform(0, 8_000), vm, n)
         for vm in range(8)
@@ -152,21 +154,25 @@
     )
     for now_ms, vm, number in arrivals:
         engine = engine_pairs.choose_engine(
-            _need(context, 3_000), context.engines, books[vm].all_sums(now_ms)
+            _need(context, 3_000),
+            context.engines,
+            all_commitments[vm].all_sums(now_ms),
         )
-        books[vm].commit(
+        all_commitments[vm].commit(
             (vm, number),
             commitments.Commitment(engine.upstream, None, 3_000, 0),
         )
-        if told:
-            for other, book in enumerate(books):
+        if announced:
+            for other, each in enumerate(all_commitments):
                 if other != vm:
-                    book.update_peer(f'v{vm}', books[vm].own_sums(), now_ms)
+                    each.update_peer(
+                        f'v{vm}', all_commitments[vm].own_sums(), now_ms
+                    )
     counts = [
         sum(
             run.upstream == engine.upstream
-            for book in books
-            for run in book.runs.values()
+            for each in all_commitments
+            for run in each.runs.values()
         )
         for engine in context.engines
     ]
@@ -174,13 +180,13 @@
 
 
 @behave.when('their sums are announced 40 ms after each placement')
-def sums_told(context):
-    context.told = _simulate(context, True)
-    context.share = context.told
+def sums_announced(context):
+    context.announced = _simulate(context, True)
+    context.share = context.announced
 
 
 @behave.when('their sums are never announced')
-def sums_untold(context):
+def sums_not_announced(context):
     context.share = _simulate(context, False)
 
 
@@ -191,7 +197,10 @@
 
 @behave.then('some engine has more runs than with announcements')
 def unevenly(context):
-    assert context.share > context.told, (context.share, context.told)
+    assert context.share > context.announced, (
+        context.share,
+        context.announced,
+    )
 
 
 @behave.given('a queue in which a rank-1 and then a rank-0 run wait')
@@ -214,20 +223,20 @@
 @behave.when('room for one run becomes free')
 def room_comes(context):
     context.queue.engines = {SERVICE: [_engine('a', 'r', 1_000)]}
-    context.told = context.queue.step(1_000.0)
+    context.results = context.queue.step(1_000.0)
 
 
 @behave.then('the rank-0 run is placed')
 def urgent_first(context):
-    assert [t.request for t in context.told] == ['q0'], context.told
+    assert [t.request for t in context.results] == ['q0'], context.results
 
 
 @behave.when('the deadline of the other has passed')
 def time_over(context):
-    context.told = context.queue.step(5_000.0)
+    context.results = context.queue.step(5_000.0)
 
 
 @behave.then('the other is refused')
 def other_refused(context):
-    assert isinstance(context.told[0], engine_queue.Refusal)
-    assert context.told[0].request == 'q1'
+    assert isinstance(context.results[0], engine_queue.Refusal)
+    assert context.results[0].request == 'q1'
--- a/tests/steps/policy_small_parts.py
+++ b/tests/steps/policy_small_parts.py
@@ -11,8 +11,8 @@
 from eelgrassknot.policy import concurrency
 from eelgrassknot.policy import fairness
 from eelgrassknot.policy import health
+from eelgrassknot.policy import long_prompts
 from eelgrassknot.policy import messages
-from eelgrassknot.policy import prefill_lane
 from eelgrassknot.policy import prefix
 from eelgrassknot.policy import region_budget
 from eelgrassknot.policy import retry_budget
@@ -107,13 +107,13 @@
 
 @behave.when('another account queues a request')
 def another_queues(context):
-    context.loser = context.queue.push(queued('one', 'small'))
+    context.evicted = context.queue.push(queued('one', 'small'))
 
 
 @behave.then('the first account loses its newest request')
 def loses_newest(context):
     last = f'r{admission.MAX_QUEUED - 1}'
-    assert context.loser.profile.request == last
+    assert context.evicted.profile.request == last
     assert context.queue.size == admission.MAX_QUEUED
     assert context.queue.find('one') is not None
 
@@ -138,7 +138,7 @@
 @behave.then(
     'for any sequence of requests granted bytes stay within rate and burst'
 )
-def link_kept(context):
+def link_budget_kept(context):
     sizes = strategies.lists(
         strategies.tuples(
             strategies.floats(0, 2_000), strategies.floats(1, 1e6)
@@ -168,16 +168,16 @@
 @behave.given('10 engines known in two different orders')
 def given_orders(context):
     names = [f'engine-{index}' for index in range(10)]
-    context.lanes = []
+    context.engine_sets = []
     for order in (names, names[::-1]):
-        lane = prefill_lane.LongPromptEngines()
-        lane.assign(order)
-        context.lanes.append(lane)
+        engines = long_prompts.LongPromptEngines()
+        engines.assign(order)
+        context.engine_sets.append(engines)
 
 
 @behave.then('both orders give the same 2 engines for long prompts')
-def same_lane(context):
-    first, second = context.lanes
+def same_engines(context):
+    first, second = context.engine_sets
     assert first.members == second.members and len(first.members) == 2
 
 
@@ -281,13 +281,13 @@
     'each gets {rate:d} requests a second for {length:d} s, and all but '
     'those of the first {quiet:d} s need a retry'
 )
-def requests_repeat(context, rate, length, quiet):
+def requests_need_retries(context, rate, length, quiet):
     context.rate, context.length, context.quiet = rate, length, quiet
 
 
 @behave.when('all VMs are killed and restarted every {gap:d} s')
-def killed_again(context, gap):
-    context.requests, context.repeats = [], []
+def restarted_repeatedly(context, gap):
+    context.requests, context.retries = [], []
     budgets = context.start()
     for second in range(context.length):
         if second and second % gap == 0:
@@ -298,68 +298,70 @@
                 budget.earn()
                 made += second >= context.quiet and budget.spend()
         context.requests.append(context.rate * len(budgets))
-        context.repeats.append(made)
+        context.retries.append(made)
 
 
 @behave.then(
     'in no {window:d} s there are more retries than the ratio and the burst '
     'allow'
 )
-def repeats_bounded(context, window):
+def retries_bounded(context, window):
     for start in range(context.length - window + 1):
         end = start + window
         requests = sum(context.requests[start:end])
-        repeats = sum(context.repeats[start:end])
+        retries = sum(context.retries[start:end])
         allowed = context.ratio * requests + context.burst
-        assert repeats <= allowed, (start, repeats, allowed)
+        assert retries <= allowed, (start, retries, allowed)
 
 
 @behave.given(
     '{count:d} tracked upstreams of which u1 is sent a request at 0 ms'
 )
-def book_of(context, count):
-    context.book = health.HealthTracker()
+def first_sent_request(context, count):
+    context.tracker = health.HealthTracker()
     context.names = [f'u{number}' for number in range(1, count + 1)]
-    context.book.request_sent('u1', 0.0)
+    context.tracker.request_sent('u1', 0.0)
 
 
 @behave.given(
     '{count:d} tracked upstreams that are all sent a request at 0 ms'
 )
-def book_of_asked(context, count):
-    book_of(context, count)
+def all_sent_requests(context, count):
+    first_sent_request(context, count)
     for name in context.names[1:]:
-        context.book.request_sent(name, 0.0)
+        context.tracker.request_sent(name, 0.0)
 
 
 @behave.then('u1 is usable at {now:d} ms and not at {later:d} ms')
 def usable_and_not(context, now, later):
-    assert 'u1' in context.book.usable(context.names, now)
-    assert 'u1' not in context.book.usable(context.names, later)
+    assert 'u1' in context.tracker.usable(context.names, now)
+    assert 'u1' not in context.tracker.usable(context.names, later)
 
 
 @behave.then('u1 is usable at {now:d} ms and still at {later:d} ms')
 def usable_and_still(context, now, later):
     for time_ms in (now, later):
-        assert 'u1' in context.book.usable(context.names, time_ms)
+        assert 'u1' in context.tracker.usable(context.names, time_ms)
 
 
 @behave.when('u1 begins to respond at {now:d} ms')
-def begins_to_answer(context, now):
-    context.book.response_started('u1', now)
+def begins_to_respond(context, now):
+    context.tracker.response_started('u1', now)
 
 
 @behave.when(
     'u1 is sent one every {gap:d} ms and begins to answer one each time from '
     '{delay:d} ms on'
 )
-def asked_again(context, gap, delay):
+def sent_repeatedly(context, gap, delay):
     context.usable = []
     for now in range(gap, 30 * gap, gap):
-        context.book.request_sent('u1', now)
+        context.tracker.request_sent('u1', now)
         if now >= delay:
-            context.book.response_started('u1', now)
-        context.usable.append('u1' in context.book.usable(context.names, now))
+            context.tracker.response_started('u1', now)
+        context.usable.append(
+            'u1' in context.tracker.usable(context.names, now)
+        )
 
 
 @behave.then('u1 is usable at every step')
@@ -369,4 +371,4 @@
 
 @behave.then('{count:d} of them is usable at {now:d} ms')
 def count_usable(context, count, now):
-    assert len(context.book.usable(context.names, now)) == count
+    assert len(context.tracker.usable(context.names, now)) == count
