--- a/eelgrassknot/policy/engine_pool.py
+++ b/eelgrassknot/policy/engine_pool.py
@@ -1,10 +1,11 @@
-"""Decisions on the engines of one service."""
+"""Queueing, placement and load tracking for the engines of one service."""
 
 import random
 
 from eelgrassknot import ids
 from eelgrassknot.kernel import events as kernel_events
 from eelgrassknot.policy import admission
+from eelgrassknot.policy import candidate_engines
 from eelgrassknot.policy import engine_view
 from eelgrassknot.policy import fairness
 from eelgrassknot.policy import health
@@ -14,7 +15,6 @@
 from eelgrassknot.policy import objective
 from eelgrassknot.policy import placement
 from eelgrassknot.policy import prefix
-from eelgrassknot.policy import reach
 from eelgrassknot.policy import region_budget
 from eelgrassknot.settings import text as services_text
 from eelgrassknot import states
@@ -29,17 +29,17 @@
 
 
 class EnginePool:
-    """Queue, views and placement of one service of engines.
+    """Request queue, engine views and placement of one service.
 
     Args:
         service: Name of the service.
         availability_zone: Zone of this VM.
         region: Region of this VM.
-        generator: Source of random choices.
-        counters: Token counters of the accounts.
+        generator: Random number generator.
+        counters: Token counters of the client accounts.
         book: Health of the upstreams.
-        link: Budget of the link between regions.
-        options: Mechanisms in use.
+        link: Bandwidth budget of the link between regions.
+        options: Enabled mechanisms.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self.region_budget = link
         self.options = options
         self.views: dict[ids.UpstreamId, engine_view.EngineView] = {}
-        self.candidates = reach.CandidateEngines(
+        self.candidates = candidate_engines.CandidateEngines(
             self.views, region, health_tracker, options.ejection
         )
         self.held_at: dict[ids.RequestId, engine_view.EngineView] = {}
@@ -78,7 +78,7 @@
     def configure(
         self, service: services_text.Service, withheld: frozenset
     ) -> None:
-        """Take in the service as another services text has it."""
+        """Apply the service's settings from a new services text."""
         self.tuning = objective.placement_tuning(service.objective)
         self.max_tokens = service.max_tokens
         self.candidates.withheld = withheld
@@ -87,7 +87,7 @@
     def set_engines(
         self, infos: list[kernel_events.UpstreamInfo], now_ms: float
     ) -> None:
-        """Take in the whole set of the service's engines."""
+        """Replace the set of the service's engines."""
         fresh = bool(self.views)
         self.candidates.invalidate()
         named = {info.upstream for info in infos}
@@ -98,8 +98,8 @@
             else:
                 view.info = info
             self.book.get_or_create(info.upstream, now_ms, fresh)
-        near = [i.upstream for i in infos if i.region == self.region]
-        self.placement.long_prompt_engines.assign(near)
+        local = [i.upstream for i in infos if i.region == self.region]
+        self.placement.long_prompt_engines.assign(local)
         for upstream in list(self.views):
             if upstream not in named:
                 del self.views[upstream]
@@ -109,7 +109,7 @@
     def admit(
         self, profile: messages.RequestProfile, now_ms: float
     ) -> list[messages.Action]:
-        """Queue a request, or refuse it if it would wait too long."""
+        """Dispatch or queue a request; refuse it if it would wait too long."""
         if not self.candidates.usable(
             True, now_ms
         ) and not self.candidates.usable(False, now_ms):
@@ -144,12 +144,14 @@
         failed: ids.UpstreamId,
         now_ms: float,
     ) -> list[messages.Action]:
-        """Place a request elsewhere, or queue it again."""
+        """Place a request on another engine, or queue it again."""
         self.end(profile.request, False, now_ms)
-        for near in (True, False):
-            views = self.candidates.usable(near, now_ms)
-            others = [view for view in views if view.info.upstream != failed]
-            action = self._place(profile, others, now_ms)
+        for local in (True, False):
+            views = self.candidates.usable(local, now_ms)
+            other_views = [
+                view for view in views if view.info.upstream != failed
+            ]
+            action = self._place(profile, other_views, now_ms)
             if action is not None:
                 return [action]
         deadline_ms = profile.deadline_ms
@@ -160,7 +162,7 @@
         )
 
     def cancel(self, request: ids.RequestId) -> bool:
-        """Take a request out of the queue; return whether it was there."""
+        """Remove a request from the queue; return whether it was queued."""
         queued = self.queue.find(request)
         if queued is not None:
             self.queue.remove(queued)
@@ -169,7 +171,7 @@
     def record_tokens(
         self, request: ids.RequestId, count: int, now_ms: float
     ) -> None:
-        """Count tokens of a running request."""
+        """Record output tokens of a running request."""
         view = self.held_at.get(request)
         if view is None:
             return
@@ -195,7 +197,7 @@
     def end(
         self, request: ids.RequestId, complete: bool, now_ms: float
     ) -> None:
-        """Count a request as no longer held by its engine."""
+        """Record that a request no longer occupies its engine."""
         view = self.held_at.pop(request, None)
         if view is None:
             return
@@ -212,7 +214,7 @@
             self.book.record_success(view.info.upstream)
 
     def update_load(self, load: messages.EngineLoad, now_ms: float) -> None:
-        """Take in an engine's load report."""
+        """Process an engine's load report."""
         view = self.views.get(load.upstream)
         if view is None:
             return
@@ -221,7 +223,7 @@
             view.limit.on_preemption(load.running, now_ms)
 
     def tick(self, now_ms: float) -> list[messages.Action]:
-        """Do what time alone calls for."""
+        """Do the periodic work: forecasts, feedback and expired requests."""
         if now_ms - self.last_refresh_ms >= REFRESH_INTERVAL_MS:
             self.last_refresh_ms = now_ms
             for view in self.views.values():
@@ -237,7 +239,7 @@
         return actions + self.dispatch_queued(now_ms)
 
     def dispatch_queued(self, now_ms: float) -> list[messages.Action]:
-        """Dispatch queued requests as far as the engines hold them."""
+        """Dispatch queued requests while the engines have room."""
         actions: list[messages.Action] = []
         if not self.queue.size:
             return actions
@@ -254,11 +256,11 @@
     def _start(
         self, queued: admission.QueuedRequest, now_ms: float
     ) -> messages.Dispatch | None:
-        near = self.candidates.usable(True, now_ms)
-        action = self._place(queued.profile, near, now_ms)
+        local = self.candidates.usable(True, now_ms)
+        action = self._place(queued.profile, local, now_ms)
         if action is not None:
             return action
-        return self._spill(queued, bool(near), now_ms)
+        return self._spill(queued, bool(local), now_ms)
 
     def _enqueue(
         self, queued: admission.QueuedRequest
@@ -345,11 +347,11 @@
     def _spill(
         self,
         queued: admission.QueuedRequest,
-        has_near: bool,
+        has_local: bool,
         now_ms: float,
     ) -> messages.Dispatch | None:
-        far = self.candidates.usable(False, now_ms)
-        if not far:
+        remote = self.candidates.usable(False, now_ms)
+        if not remote:
             return None
         profile = queued.profile
         length_class = self.predictor.length_class(
@@ -362,11 +364,11 @@
             profile.prompt_tokens, length_class.expected
         )
         waited_ms = now_ms - queued.arrived_ms
-        if has_near and waited_ms < self.region_budget.min_wait_ms(size):
+        if has_local and waited_ms < self.region_budget.min_wait_ms(size):
             return None
         if not self.region_budget.has_room(size, now_ms):
             return None
-        action = self._place(profile, far, now_ms)
+        action = self._place(profile, remote, now_ms)
         if action is not None:
             self.region_budget.spend(size, now_ms)
         return action
