--- a/eelgrassknot/coordination/adoption.py
+++ b/eelgrassknot/coordination/adoption.py
@@ -1,8 +1,8 @@
-"""Adoption of accepted services texts by one VM.
+"""State machine by which one VM adopts accepted services texts.
 
-A VM hears of versions from the store and from its peers, fetches the
-text from either, and applies it if it is not older than any that it has
-heard of. A text is checked by its digest whoever sent it.
+A VM learns version numbers from the store and from its peers, fetches the
+text from either, and applies it unless a newer version is known. The
+digest of each text is verified, whatever its source.
 """
 
 import dataclasses
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StampRead:
-    """The store told the current version; None means no text yet."""
+    """The store returned the current version; None if there is no text."""
 
     stamp: rows.ConfigStamp | None
 
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PeerVersionReceived:
-    """A peer told the version that is in force there; 0 means none."""
+    """A peer reported the version in force there; 0 means none."""
 
     vm: ids.VmId
     version: ids.ConfigVersion
@@ -55,21 +55,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class PeerLost:
-    """A peer is gone and holds nothing that could be fetched."""
+    """A peer has ended, so nothing can be fetched from it."""
 
     vm: ids.VmId
 
 
 @dataclasses.dataclass(frozen=True)
 class RecordReceived:
-    """A text came from the store or from a peer."""
+    """A text was received from the store or from a peer."""
 
     record: rows.ConfigRecord
 
 
 @dataclasses.dataclass(frozen=True)
 class FetchFailed:
-    """A fetch brought nothing; another source may be tried."""
+    """A fetch returned no text; another source may be tried."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -90,7 +90,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PollStore:
-    """Ask the store for the current version."""
+    """Read the current version number from the store."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -100,14 +100,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class FetchFromPeer:
-    """Ask a peer for the text that it holds."""
+    """Request the text that a peer has in force."""
 
     vm: ids.VmId
 
 
 @dataclasses.dataclass(frozen=True)
 class Adopt:
-    """Apply a text from now on."""
+    """Put a text in force on this VM."""
 
     record: rows.ConfigRecord
     text: services_text.ServicesText
@@ -117,20 +117,20 @@
 
 
 class ConfigAdoption:
-    """Decides what to fetch and what to apply.
+    """Decides which texts to fetch and apply.
 
     Args:
-        generator: Source of random choices.
-        poll_ms: Time between questions to the store, in milliseconds.
+        generator: Source of randomness.
+        poll_ms: Interval between polls of the store, in milliseconds.
 
     Attributes:
-        floor: Highest version heard of; nothing below it is applied.
-        adopted: The text in force here, or None before the first.
-        caught_up: Whether the newest text known was ever in force here,
-            without which this VM must not begin to serve.
-        heard: Version in force at each peer.
-        corrupt: How many texts failed the check of their digest.
-        refused: Version that this program cannot read, or 0.
+        newest_known: Highest known version; no older one is applied.
+        adopted: Record of the text in force here, or None initially.
+        caught_up: Whether the newest known text has ever been in force
+            here; until then this VM must not serve.
+        peer_versions: Version in force at each peer.
+        corrupt_count: Number of texts whose digest did not match.
+        unreadable_version: Version that this build cannot decode, or 0.
 
     Example:
         >>> adoption = ConfigAdoption(random.Random(1))
@@ -159,17 +159,17 @@
 
     @property
     def version(self) -> ids.ConfigVersion:
-        """Version in force here; 0 before the first."""
+        """Version in force here, or 0 if there is none."""
         if self.adopted is None:
             return ids.ConfigVersion(0)
         return self.adopted.version
 
     def handle(self, event: Event, now_ms: float) -> list[Action]:
-        """Take in one event and return what is to be done.
+        """Process an event and return the actions to perform.
 
         Args:
-            event: What happened.
-            now_ms: The present time of this VM's clock.
+            event: The event.
+            now_ms: Current time of this VM's clock.
         """
         match event:
             case Tick():
@@ -195,7 +195,7 @@
         return self._fetch(now_ms)
 
     def outdated_peers(self) -> dict[ids.VmId, ids.ConfigVersion]:
-        """Return the peers whose text is older than the newest known."""
+        """Return the versions of peers that lag the newest known one."""
         return {
             vm: version
             for vm, version in self.peer_versions.items()
@@ -203,7 +203,7 @@
         }
 
     def not_ready_reason(self) -> str | None:
-        """Return why this VM must not serve yet, or None."""
+        """Return why this VM must not serve yet, or None if it may."""
         if self.caught_up:
             return None
         if self.unreadable_version:
@@ -213,11 +213,13 @@
             )
         if self.newest_known:
             return (
-                f'version {self.newest_known} of the services text is'
-                ' not here yet'
+                f'version {self.newest_known} of the services text has not'
+                ' been received yet'
             )
         if self.store_failed or not self.store_answered:
-            return 'neither the store nor a peer has told the services text'
+            return (
+                'neither the store nor a peer has provided the services text'
+            )
         return 'no services text has been accepted yet'
 
     def _raise_newest_known(self, version: ids.ConfigVersion) -> None:
@@ -228,7 +230,7 @@
     def _poll(self, now_ms: float) -> list[Action]:
         if now_ms < self.next_poll_ms:
             return []
-        # Spread the polls of VMs that were started together.
+        # Jitter spreads the polls of VMs that were started together.
         spread = self.generator.uniform(0.9, 1.1)
         self.next_poll_ms = now_ms + self.poll_ms * spread
         return [PollStore()]
@@ -248,8 +250,9 @@
             for vm, version in self.peer_versions.items()
             if version >= self.newest_known
         )
-        # Peers cost the store nothing. The sources take turns, so that
-        # one that fails silently does not hold the text up.
+        # Fetches from peers put no load on the store. Store and peers
+        # alternate, so that a source that fails silently does not block
+        # the adoption.
         self.prefer_store = not holders or not self.prefer_store
         if self.prefer_store and not (holders and self.store_failed):
             return FetchFromStore()
--- a/eelgrassknot/coordination/config.py
+++ b/eelgrassknot/coordination/config.py
@@ -1,12 +1,12 @@
 """Acceptance of a services text by compare-and-swap.
 
-The text, its row in the history and its audit row are written in one
-transaction, on condition that nobody else's text was accepted since it
-was read. An answer that is lost is read back by the change's id: the
-change can only ever stand in the history at the version after the one
-that was read. Absence there proves nothing, as the write may still be
-on its way, so the same conditional write is repeated until either it or
-another's stands there.
+The text, its history row and its audit row are written in one
+transaction, conditional on no other text having been accepted since the
+current one was read. If the answer to the write is lost, the outcome is
+looked up by the change id: the change can only appear in the history at
+the version after the one that was read. An absent history row proves
+nothing, as the write may still be in flight. The same conditional write
+is therefore repeated until this change or another one is recorded there.
 """
 
 import dataclasses
@@ -42,13 +42,13 @@
 
 
 def document_digest(document: str) -> str:
-    """Return the digest by which a document is checked on receipt."""
+    """Return the SHA-256 digest that receivers of a document verify."""
     return hashlib.sha256(document.encode()).hexdigest()
 
 
 @dataclasses.dataclass(frozen=True)
 class Accepted:
-    """The text is accepted and will be in force everywhere."""
+    """The text was accepted and all VMs will adopt it."""
 
     version: ids.ConfigVersion
     digest: str
@@ -68,14 +68,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class HistoryRead:
-    """A row of the history was read; None if it is absent."""
+    """A history row was read; None if it is absent."""
 
     record: rows.ConfigRecord | None
 
 
 @dataclasses.dataclass(frozen=True)
 class ReadFailed:
-    """A read could not be made."""
+    """A read failed."""
 
     error: exceptions.EelgrassknotError
 
@@ -92,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class WriteFailed:
-    """The transaction had no clear answer, or did not reach the store."""
+    """The outcome is unknown, or the store was not reached."""
 
     error: exceptions.EelgrassknotError
 
@@ -104,14 +104,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReadHistory:
-    """Read the row of one version in the history."""
+    """Read the history row of one version."""
 
     version: ids.ConfigVersion
 
 
 @dataclasses.dataclass(frozen=True)
 class WriteConfig:
-    """Make the transaction that accepts the text."""
+    """Run the transaction that accepts the text."""
 
     conditions: tuple[base.Condition, ...]
     writes: tuple[base.Write, ...]
@@ -122,7 +122,7 @@
     """The acceptance has ended.
 
     Attributes:
-        outcome: ``Accepted``, or the error that says why not.
+        outcome: ``Accepted``, or the reason for the failure.
     """
 
     outcome: Accepted | exceptions.EelgrassknotError
@@ -140,15 +140,15 @@
 
 
 class Acceptance:
-    """Accepts one text; the shell carries out what it returns.
+    """State machine that accepts one text; the caller does the I/O.
 
     Args:
-        document: The services text, checked before.
-        author: Person who changes the system.
-        change: Identifies this change; the same on each repeat.
+        document: The services text, already validated.
+        author: Person who makes the change.
+        change: Id of this change; retries use the same id.
         at_ms: Wall-clock time in milliseconds since 1970.
-        base_version: Version that the author started from, or None to
-            replace whichever version is current.
+        base_version: Version on which the author's edit is based, or
+            None to replace whichever version is current.
 
     Example:
         >>> acceptance = Acceptance('{}', 'ana', 'c1', 0)
@@ -179,14 +179,14 @@
         self.last_error: exceptions.EelgrassknotError | None = None
 
     def start(self) -> Action:
-        """Return the first thing to do."""
+        """Return the first action."""
         return ReadCurrent()
 
     def handle(self, event: Event) -> Action:
-        """Take in the answer to the last action; return the next.
+        """Process the result of the last action; return the next one.
 
         Args:
-            event: What came of the last action.
+            event: Result of the last action.
         """
         match event:
             case CurrentRead(record, row_version):
@@ -291,7 +291,7 @@
 
     def _unknown_outcome(self) -> exceptions.UnknownOutcomeError:
         return exceptions.UnknownOutcomeError(
-            f'the text may or may not be accepted as version'
+            f'it is unknown whether the text was accepted as version'
             f' {self.version}: {self.last_error}',
             f'repeat the command with change id {self.change}',
         )
@@ -302,10 +302,10 @@
 ) -> exceptions.ConfigConflictError:
     if winner is None:
         return exceptions.ConfigConflictError(
-            'no text has been accepted yet',
+            'no services text has been accepted yet',
             'accept the first text without a base version',
         )
     return exceptions.ConfigConflictError(
         f'version {winner.version} by {winner.author} was accepted first',
-        'take the current text, apply your change to it and accept again',
+        'apply your change to the current text and accept it again',
     )
--- a/eelgrassknot/coordination/config_store.py
+++ b/eelgrassknot/coordination/config_store.py
@@ -1,4 +1,4 @@
-"""Reads and accepts services texts in the platform's table."""
+"""Reads and writes accepted services texts in the platform's table."""
 
 import collections.abc
 import time
@@ -27,17 +27,17 @@
     base_version: ids.ConfigVersion | None = None,
     pause: collections.abc.Callable[[float], None] = time.sleep,
 ) -> result.Result[config.Accepted, AcceptError]:
-    """Accept a services text; blocks until its outcome is known.
+    """Accept a services text; block until the outcome is known.
 
     Args:
         table: The platform's table.
-        document: The services text, checked before.
-        author: Person who changes the system.
-        change: Identifies this change. A caller that repeats after an
-            unknown outcome passes the same one.
-        base_version: Version that the author started from, or None to
-            replace whichever version is current.
-        pause: Waits the given number of seconds before a repeat.
+        document: The services text, already validated.
+        author: Person who makes the change.
+        change: Id of this change. A caller that retries after an
+            unknown outcome passes the same id.
+        base_version: Version on which the author's edit is based, or
+            None to replace whichever version is current.
+        pause: Sleeps for the given number of seconds before a retry.
 
     Returns:
         The accepted version; or ``ConfigConflictError`` if another text
@@ -62,7 +62,7 @@
 def read_current(
     table: base.Table,
 ) -> result.Result[rows.ConfigRecord | None, base.PlatformError]:
-    """Return the text that was accepted last, or None."""
+    """Return the most recently accepted text, or None."""
     return _read(
         table, rows.CONFIG_TABLE, rows.CONFIG_CURRENT, rows.ConfigRecord
     )
@@ -80,7 +80,7 @@
 def read_history(
     table: base.Table,
 ) -> result.Result[list[rows.ConfigRecord], base.PlatformError]:
-    """Return the texts that are kept, the earliest first."""
+    """Return the texts in the history, oldest first."""
     listed = table.list_rows(
         rows.CONFIG_TABLE, rows.HISTORY_PREFIX, limit=config.HISTORY_LENGTH
     )
@@ -105,7 +105,7 @@
             return _read_version(table, version)
         case config.WriteConfig(conditions, writes):
             return _write(table, change, conditions, writes)
-    raise TypeError(f'no such action: {action}')
+    raise TypeError(f'unknown action: {action}')
 
 
 def _read_current(table: base.Table) -> config.Event:
--- a/eelgrassknot/coordination/digest.py
+++ b/eelgrassknot/coordination/digest.py
@@ -1,8 +1,9 @@
-"""Digests: what the VMs of a zone tell each other of load and demand.
+"""Digests of load and demand that the VMs of a zone exchange.
 
-Each VM tells what it observed as an upstream's observer, what it holds
-by its own dispatches, and its accounts' demand, as deltas within a
-budget of bytes. Gateways carry sums by zone and service to other zones.
+Each VM sends the upstream loads that it polled, the load that its own
+dispatches put on upstreams, and the demand of its client accounts, as
+deltas within a byte budget. Gateways send sums by zone and service to
+other zones.
 """
 
 import collections
@@ -28,14 +29,14 @@
 LOAD_SHARE = 0.6
 IN_FLIGHT_SHARE = 0.6
 ZONE_SHARE = 0.4
-# Older than this, a load no longer counts in the sums of its zone.
+# An older load is left out of the sums of its zone.
 SUM_MAX_AGE_MS = 10_000.0
 MAX_CACHE_ENTRIES = 64
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Payload:
-    """What goes out with the next heartbeat."""
+    """Contents of the digest in one heartbeat."""
 
     loads: tuple[messages.LoadEntry, ...]
     held: tuple[messages.InFlightEntry, ...]
@@ -45,15 +46,16 @@
 
 
 class Digest:
-    """What one VM tells and has been told.
+    """Digest state of one VM, both to send and received.
 
     Args:
         availability_zone: Zone of this VM.
 
     Attributes:
-        upstreams: Upstream of each name hash; two of the same hash are
-            left out, as entries could not be told apart.
-        loads: Newest load of each upstream of the zone and when it came.
+        upstreams: Upstream of each name hash. Upstreams whose hashes
+            collide are left out, as their entries would be ambiguous.
+        loads: Newest load of each upstream of the zone, with its time of
+            receipt.
 
     Example:
         >>> digest = Digest('zone')
@@ -72,7 +74,7 @@
         )
         self.demands = delta_queue.DeltaQueue(DEMAND_BYTES, DEMAND_REFRESH_MS)
         self.zones = delta_queue.DeltaQueue(ZONE_BYTES, ZONE_REFRESH_MS)
-        # Cache events are hints; the oldest give way.
+        # Cache events are only hints, so the oldest are dropped when full.
         self.cache: collections.deque = collections.deque(
             maxlen=MAX_CACHE_ENTRIES
         )
@@ -80,7 +82,7 @@
     def set_upstreams(
         self, upstreams: collections.abc.Sequence[events.UpstreamInfo]
     ) -> None:
-        """Take in the whole set of upstreams."""
+        """Replace the set of known upstreams."""
         hashes = [upstream_key(info) for info in upstreams]
         counts = collections.Counter(hashes)
         self.upstreams = {
@@ -102,7 +104,7 @@
     def record_own_load(
         self, entry: messages.LoadEntry, now_ms: float
     ) -> None:
-        """Take in a load that this VM observed itself."""
+        """Record a load that this VM polled."""
         if entry.upstream in self.upstreams:
             self.own_loads.offer(entry.upstream, entry)
             self.loads[entry.upstream] = (entry, now_ms)
@@ -110,21 +112,21 @@
     def record_peer_load(
         self, entry: messages.LoadEntry, now_ms: float
     ) -> bool:
-        """Take in a load that a peer observed.
+        """Record a load that a peer polled.
 
         Returns:
-            Whether it is of a known upstream and newer than what was
-            known; messages may be repeated or overtake each other.
+            Whether the upstream is known and the load newer than the
+            recorded one; messages may be duplicated or reordered.
         """
         if entry.upstream not in self.upstreams:
             return False
         known = self.loads.get(entry.upstream)
         if known is not None and entry.at_ms < known[0].at_ms:
-            # A restarted upstream's clock may begin anew.
+            # A restart may reset the upstream's clock.
             if now_ms - known[1] < SUM_MAX_AGE_MS:
                 return False
         self.loads[entry.upstream] = (entry, now_ms)
-        # Whoever else observes it tells it; this VM need not.
+        # The peer that polls the upstream reports it, so this VM need not.
         self.own_loads.remove(entry.upstream)
         return True
 
@@ -133,12 +135,12 @@
         held: collections.abc.Mapping[ids.UpstreamId, tuple[int, int]],
         demands: collections.abc.Mapping[ids.ClientAccountId, float],
     ) -> None:
-        """Take in what the dispatcher wants peers to know.
+        """Queue the dispatcher's load and demand for sending to peers.
 
         Args:
             held: Running requests and expected tokens by upstream.
-            demands: Requests a second by client account. Accounts that
-                are left out are told as zero once.
+            demands: Requests per second by client account. Zero is sent
+                once for an account that is no longer included.
         """
         for upstream, (running, expected_tokens) in held.items():
             key = self.key_by_upstream.get(upstream)
@@ -160,13 +162,13 @@
                 self.demands.remove(key)
 
     def forward_zone_loads(self, loads: collections.abc.Iterable) -> None:
-        """Pass sums of other zones on to the peers of this one."""
+        """Queue load sums of other zones for the peers of this zone."""
         for load in loads:
             key = (load.availability_zone, load.service)
             self.zones.offer(key, load)
 
     def zone_loads(self, now_ms: float) -> tuple[messages.ZoneLoad, ...]:
-        """Return the sums of this zone by service, for other zones."""
+        """Return the load sums of this zone by service, for other zones."""
         sums: dict[ids.ServiceName, list[int]] = {}
         leaving: dict[ids.ServiceName, list[int]] = {}
         for key, (entry, heard_ms) in self.loads.items():
@@ -200,11 +202,11 @@
         )
 
     def take(self, budget_bytes: float, now_ms: float) -> Payload:
-        """Return what goes out with the next heartbeat.
+        """Return the digest for the next heartbeat.
 
         Args:
-            budget_bytes: About how many bytes it may take.
-            now_ms: The present time.
+            budget_bytes: Approximate maximum size.
+            now_ms: Current time.
         """
         left = budget_bytes
         loads = self.own_loads.take(left * LOAD_SHARE, now_ms)
@@ -224,7 +226,7 @@
         )
 
     def add_cache_entry(self, entry: messages.CacheEntry) -> None:
-        """Take in cache events that this VM read as an observer."""
+        """Queue cache events that this VM polled."""
         self.cache.append(entry)
 
     def _take_cache(self, budget_bytes: float) -> tuple:
@@ -239,10 +241,10 @@
 
 
 def upstream_key(info: events.UpstreamInfo) -> int:
-    """Return the hash that stands for an upstream in digests.
+    """Return the hash that identifies an upstream in digests.
 
-    The address is part of it, so that news of one incarnation is never
-    taken for news of the one that has its name by now.
+    The hash covers the address, so that data on an earlier incarnation
+    is not attributed to a successor of the same name.
     """
     return rendezvous.name_hash(f'{info.upstream}@{info.address}')
 
--- a/eelgrassknot/coordination/digest_part.py
+++ b/eelgrassknot/coordination/digest_part.py
@@ -1,4 +1,4 @@
-"""Part of the daemon that exchanges digests with the zone's peers."""
+"""Daemon part that exchanges digests with the peers of the zone."""
 
 import threading
 import typing
@@ -23,7 +23,7 @@
 
 @parts.part('digests', after=('membership', 'upstreams', 'dispatch'))
 class DigestPart(parts.Part):
-    """Tells the dispatcher what peers know, and peers what it does."""
+    """Passes digests between the dispatcher and the peers."""
 
     def __init__(self, node: kernel_node.Node) -> None:
         self.node = node
@@ -41,7 +41,7 @@
         )
 
     def bind(self) -> None:
-        """Learn of the parts that this one works with."""
+        """Look up the parts that this one uses, and register with them."""
         members = self.node.part_set.parts
         self.dispatch = members['dispatch']
         self.upstreams = members['upstreams']
@@ -52,7 +52,7 @@
         members['membership'].zone_load_source = self.zone_loads
 
     def status(self) -> dict[str, object]:
-        """Return how old the loads are that this VM decides by."""
+        """Return the number and maximum age of the known loads."""
         now_ms = self.node.clock.now_ms()
         with self.lock:
             ages = [now_ms - heard for _, heard in self.digest.loads.values()]
@@ -64,7 +64,7 @@
         }
 
     def next_payload(self, budget_bytes: float) -> digests.Payload:
-        """Return what goes out with the next heartbeat."""
+        """Return the digest for the next heartbeat."""
         now_ms = self.node.clock.now_ms()
         self._update_dispatch_state(now_ms)
         with self.lock:
@@ -85,14 +85,14 @@
             self.digest.update_dispatch_state(held, demands)
 
     def zone_loads(self) -> tuple[messages.ZoneLoad, ...]:
-        """Return the sums of this zone for other zones."""
+        """Return the load sums of this zone, for other zones."""
         with self.lock:
             return self.digest.zone_loads(self.node.clock.now_ms())
 
     def record_own_load(
         self, info: events.UpstreamInfo, entry: messages.LoadEntry
     ) -> None:
-        """Take in a load that this VM observed itself."""
+        """Record a load that this VM polled."""
         with self.lock:
             self.digest.record_own_load(entry, self.node.clock.now_ms())
         self._report_load(self.node.settings.vm, info, entry)
@@ -100,7 +100,7 @@
     def record_own_cache(
         self, info: events.UpstreamInfo, entry: messages.CacheEntry
     ) -> None:
-        """Take in cache events that this VM read itself."""
+        """Record cache events that this VM polled."""
         with self.lock:
             self.digest.add_cache_entry(entry)
         self._report_cache(info, entry)
@@ -189,7 +189,7 @@
 
     @property
     def observer(self) -> typing.Any:
-        """Part that polls; it starts after this one."""
+        """Observer part; it is created after this one."""
         return self.node.part_set.parts['observer']
 
     def _receive_in_flight(
@@ -222,7 +222,7 @@
             load for load in loads if load.availability_zone != self.zone
         ]
         if vm not in self.members:
-            # From another zone's gateway: this VM tells its own zone.
+            # Sent by another zone's gateway; forward it to this zone.
             with self.lock:
                 self.digest.forward_zone_loads(foreign)
         for load in foreign:
@@ -284,7 +284,7 @@
     count = load.upstreams
     return policy_messages.EngineLoad(
         info.upstream,
-        # Sums have no one clock; the time of receipt stands for it.
+        # A sum over upstreams has no single clock; use the receipt time.
         now_ms,
         load.kv_tokens_used // count,
         load.kv_tokens_total // count,
--- a/eelgrassknot/coordination/lease.py
+++ b/eelgrassknot/coordination/lease.py
@@ -1,11 +1,12 @@
 """Lease on the engine orders of one region.
 
-The lease is one row. Its epoch goes up with each holder and is the
-fencing number of the holder's orders. No two clocks are compared: the
-holder counts its lease from before it sent the write that renewed it,
-and a watcher counts from when it first saw that write, on its own clock.
-A watcher reads the row again right before it takes over; as watchers
-poll at different times, that alone keeps most of them from writing.
+The lease is one row. Its epoch increases with each holder and serves as
+the fencing number of the holder's orders. Clocks of different VMs are
+never compared: the holder measures its lease from before it sent the
+write that renewed it, and a watcher from when it first saw that write,
+each on its own clock. A watcher reads the row again immediately before it
+takes over. As watchers poll at different times, this read alone prevents
+most conflicting writes.
 """
 
 import enum
@@ -17,20 +18,20 @@
 __all__ = ['DURATION_MS', 'EXPIRY_MARGIN_MS', 'Lease', 'LeaseState']
 
 DURATION_MS = 8_000.0
-# The holder stops this long before a watcher could take over, to cover
-# clocks that run at different rates and the last order on its way.
+# The holder stops this long before a watcher could take over, to allow
+# for clocks that run at different rates and for an order in flight.
 EXPIRY_MARGIN_MS = 1_500.0
 RENEW_MS = 2_000.0
 POLL_MS = 2_000.0
 RETRY_MS = 500.0
-# Watchers that come late in the order poll more seldom.
+# The poll interval grows by POLL_MS with every so many ranks.
 RANKS_PER_POLL_STEP = 8
 MAX_POLL_MS = 10_000.0
 MAX_TRACKED_WRITES = 16
 
 
 class LeaseState(enum.Enum):
-    """What this VM does about the lease."""
+    """Role of this VM with regard to the lease."""
 
     WATCHING = 'watching'
     HOLDING = 'holding'
@@ -38,7 +39,7 @@
 
 
 class Lease:
-    """One VM's part in the lease of its region.
+    """State machine of one VM for the lease of its region.
 
     Args:
         vm: This VM.
@@ -46,7 +47,8 @@
 
     Attributes:
         epoch: Epoch under which this VM holds the lease, or None.
-        valid_until_ms: Until when it may give orders, on its clock.
+        valid_until_ms: When this VM must stop giving orders, on its own
+            clock.
 
     Example:
         >>> lease = Lease('a', 'i')
@@ -75,18 +77,18 @@
         self.valid_until_ms = float('-inf')
 
     def is_valid(self, now_ms: float) -> bool:
-        """Return whether an order may be given at this very time."""
+        """Return whether this VM may give orders at the given time."""
         return self.epoch is not None and now_ms < self.valid_until_ms
 
     def handle(
         self, event: messages.Event, now_ms: float
     ) -> list[messages.Action]:
-        """Take in one event and return what is to be done.
+        """Process an event and return the actions to perform.
 
         Args:
-            event: What happened.
-            now_ms: The present time of this VM's clock, taken before
-                any returned write is sent.
+            event: The event.
+            now_ms: Current time of this VM's clock, read before any
+                returned write is sent.
         """
         actions = self._expire(now_ms)
         if not isinstance(event, messages.Tick | messages.Release):
@@ -100,7 +102,7 @@
             case messages.WriteCommitted(row_version):
                 return actions + self._on_committed(row_version, now_ms)
             case messages.WriteConflicted() | messages.WriteFailed():
-                # Read back at once: the write may have taken effect.
+                # Read the row at once, as the write may have taken effect.
                 self.next_read_ms = now_ms
             case messages.ReadFailed():
                 self.next_read_ms = now_ms + RETRY_MS
@@ -176,14 +178,15 @@
     def _resume_own(
         self, record: rows.LeaseRecord, now_ms: float
     ) -> list[messages.Action]:
-        # Found by a read, not by the answer to the write: the lease
-        # still counts from when that write was sent.
+        # The write was confirmed by a read rather than by its answer; the
+        # lease is still measured from when the write was sent.
         sent_ms = self.write_sent_ms.get((record.epoch, record.renewals))
         if sent_ms is None or self.state is LeaseState.STOPPED:
             return []
         actions = self._hold(record, sent_ms, now_ms)
         if not actions and not self.is_valid(now_ms):
-            # Lapsed before it was found; take over like anyone else.
+            # The lease expired before the write was confirmed, so this VM
+            # takes over under the same conditions as any watcher.
             if now_ms >= self._takeover_ms():
                 return self._take_over(now_ms)
         return actions
--- a/eelgrassknot/coordination/lease_part.py
+++ b/eelgrassknot/coordination/lease_part.py
@@ -1,4 +1,4 @@
-"""Part of the daemon that takes part in the lease of its region."""
+"""Daemon part that competes for the lease of its region."""
 
 import collections.abc
 import concurrent.futures
@@ -29,12 +29,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class LeaseHeld:
-    """This VM may give orders from now on.
+    """This VM now holds the lease and may give orders.
 
     Attributes:
         fencing: Fencing number of its orders.
-        condition: Holds in the table as long as no other VM has taken
-            the lease over; goes with each write that a holder makes.
+        condition: Table condition that holds until another VM takes the
+            lease over; the holder attaches it to each of its writes.
     """
 
     fencing: ids.FencingNumber
@@ -43,14 +43,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class LeaseEnded:
-    """This VM may give no orders under a fencing number any more."""
+    """This VM must give no more orders under a fencing number."""
 
     fencing: ids.FencingNumber
 
 
 @parts.part('lease', after=('membership',))
 class LeasePart(parts.Part):
-    """Reads and writes the lease's row as the lease decides."""
+    """Performs the reads and writes that the lease state machine requests."""
 
     def __init__(self, node: kernel_node.Node) -> None:
         self.node = node
@@ -63,24 +63,24 @@
         self.ticker = ticker.Ticker('lease', TICK_MS, self._tick)
 
     def bind(self) -> None:
-        """Learn of the parts that this one works with."""
+        """Look up the parts that this one uses."""
         self.membership = self.node.part_set.parts['membership']
 
     def start(self) -> None:
-        """Begin to watch the lease."""
+        """Start to watch the lease."""
         self.ticker.start()
 
     def drain(self) -> None:
-        """Give the lease up, so that nobody waits for it to lapse."""
+        """Release the lease, so that a successor need not await expiry."""
         self._handle(messages.Release())
 
     def stop(self) -> None:
-        """Watch no more."""
+        """Stop watching the lease."""
         self.ticker.stop()
         self.executor.shutdown(wait=True)
 
     def is_valid(self, fencing: ids.FencingNumber) -> bool:
-        """Return whether an order may be given at this very time."""
+        """Return whether orders may be given under a fencing number now."""
         lease = self.lease
         if lease.epoch != fencing:
             return False
@@ -164,8 +164,9 @@
         ]
 
     def _on_gained(self, epoch: ids.FencingNumber) -> None:
-        # The version is taken only from a row that still names this
-        # epoch: a later one would let this VM write for its successor.
+        # The row version is used only if the row still names this epoch.
+        # With a later version, the writes of this VM would be accepted
+        # during the term of its successor.
         match _read_row(
             self.table, rows.LEASE_EPOCH_TABLE, self.region, rows.LeaseEpoch
         ):
@@ -184,7 +185,7 @@
         logs.event('lease_gained', region=self.region, epoch=epoch)
         self.node.hub.publish(self.held)
         if not self.is_valid(epoch):
-            # It lapsed while it was being announced.
+            # The lease expired while subscribers were notified.
             self._publish_ended(epoch)
 
     def _publish_ended(self, epoch: ids.FencingNumber) -> None:
--- a/eelgrassknot/coordination/links.py
+++ b/eelgrassknot/coordination/links.py
@@ -1,8 +1,8 @@
-"""Which peers a VM is connected to, and to which zones it is a gateway.
+"""Selection of the peers to which a VM connects.
 
-A VM is connected to the peers of its zone. Two gateways of each zone,
-chosen by rendezvous hashing, are connected to the two of each other zone,
-so that the paid link between regions carries a few messages a second.
+A VM connects to all peers of its zone. Two gateways of each zone, chosen
+by rendezvous hashing, connect to the two gateways of every other zone, so
+that the paid link between regions carries only a few messages a second.
 """
 
 import collections
@@ -21,11 +21,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Links:
-    """To whom this VM sends.
+    """Peers to which this VM sends.
 
     Attributes:
-        zone: Peers of its zone, by address.
-        far: Gateways of other zones, if this VM is one of its own.
+        zone_peers: Address of each peer of its zone.
+        remote_gateways: Address of each gateway of other zones, if this
+            VM is a gateway itself.
     """
 
     zone_peers: dict[ids.VmId, str]
@@ -33,16 +34,16 @@
 
     @property
     def addresses(self) -> dict[ids.VmId, str]:
-        """All peers to be connected, by address."""
+        """Address of each peer to connect to."""
         return {**self.zone_peers, **self.remote_gateways}
 
 
 @dataclasses.dataclass(frozen=True)
 class LinkCandidate:
-    """Where a VM is and where it listens to peers.
+    """Zone and peer address of a VM.
 
     Attributes:
-        is_live: Whether it may be a gateway.
+        is_live: Whether the VM may be chosen as a gateway.
     """
 
     availability_zone: ids.AvailabilityZoneId
@@ -60,7 +61,7 @@
     Args:
         vm: The VM.
         availability_zone: Its zone.
-        places: All others that are known.
+        candidates: All other known VMs.
 
     Example:
         >>> candidates = {'b': LinkCandidate('y', '10.0.0.2:1', True)}
@@ -88,10 +89,10 @@
 
 
 def plan_links(membership: memberships.Membership) -> Links:
-    """Return the links of a VM that keeps a membership.
+    """Return the links that follow from a VM's membership view.
 
     Args:
-        membership: What it knows of the entry VMs.
+        membership: The VM's view of the entry VMs.
     """
     members = set(membership.zone_members())
     places = {}
--- a/eelgrassknot/coordination/membership.py
+++ b/eelgrassknot/coordination/membership.py
@@ -1,13 +1,14 @@
-"""Which entry VMs there are, by the platform's list and by heartbeats.
+"""Membership of entry VMs from the platform's list and heartbeats.
 
-The list lags, and a VM that this one cannot hear may be heard by others.
-So a silent peer is first only suspected here. It counts as gone when all
-zone peers that this VM hears miss it too, or when another incarnation of
-the same VM has taken its place. Leaving is final for an incarnation.
+The list lags, and a VM that is unreachable from here may still be
+reachable from others. A silent peer is therefore only suspected at first.
+It is considered gone once all live peers of the zone report it as silent
+too, or once another incarnation of the same VM has replaced it. Leaving is
+final for an incarnation.
 
 References:
     Dadgar et al., "Lifeguard: local health awareness for more accurate
-    failure detection", 2018, for excusing this VM's own pauses.
+    failure detection", 2018, for discounting pauses of the local process.
 """
 
 import collections.abc
@@ -29,13 +30,13 @@
 EXPECTED_GAP_MS = 1_000.0
 GONE_AFTER_MS = 10_000.0
 EXPIRE_AFTER_MS = 600_000.0
-# A tick that comes later than this tells that this VM stood still.
+# A longer gap between ticks means that this process was paused.
 MAX_TICK_GAP_MS = 1_000.0
 MAX_ENDED_INCARNATIONS = 4_096
 
 
 class PeerState(enum.Enum):
-    """What this VM thinks of a peer."""
+    """State of a peer as seen by this VM."""
 
     LISTED = 'listed'
     LIVE = 'live'
@@ -46,7 +47,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Peer:
-    """What is known of one peer."""
+    """What this VM knows of one peer."""
 
     vm: ids.VmId
     location: messages.PeerLocation | None = None
@@ -62,15 +63,15 @@
 
 
 class Membership:
-    """The entry VMs as one of them knows them.
+    """View that one VM has of the other entry VMs.
 
     Args:
         vm: This VM.
         availability_zone: Zone of this VM.
 
     Attributes:
-        peers: What is known of each other entry VM.
-        retired: Incarnations whose place another one has taken.
+        peers: State of each other entry VM.
+        ended_incarnations: Incarnations that another one has replaced.
 
     Example:
         >>> membership = Membership('nadi-1', 'nadi-yard')
@@ -91,11 +92,11 @@
         self.last_tick_ms: float | None = None
 
     def handle(self, event: messages.Event, now_ms: float) -> bool:
-        """Take in one event.
+        """Process an event.
 
         Args:
-            event: What happened.
-            now_ms: The present time of this VM's clock.
+            event: The event.
+            now_ms: Current time of this VM's clock.
 
         Returns:
             Whether the state or the address of any peer has changed.
@@ -114,24 +115,24 @@
         return False
 
     def live_peers(self) -> list[ids.VmId]:
-        """Return the peers that are heard and may be given work."""
+        """Return the names of live peers, which may be given work."""
         return self.in_state(PeerState.LIVE)
 
     def in_state(self, state: PeerState) -> list[ids.VmId]:
-        """Return the peers in a state, in order of their names."""
+        """Return the names of the peers in a state, sorted."""
         return sorted(
             peer.vm for peer in self.peers.values() if peer.state is state
         )
 
     def zone_members(self) -> list[ids.VmId]:
-        """Return this VM and the live peers of its zone, in order."""
+        """Return the names of this VM and its live zone peers, sorted."""
         peers = [
             vm for vm in self.live_peers() if self._in_zone(self.peers[vm])
         ]
         return sorted([*peers, self.vm])
 
     def unheard(self) -> list[ids.VmId]:
-        """Return the zone peers that were heard once but are silent."""
+        """Return the zone peers whose heartbeats have stopped."""
         silent = (PeerState.SUSPECTED, PeerState.GONE)
         return sorted(
             peer.vm
@@ -142,7 +143,7 @@
     def is_gone(
         self, vm: ids.VmId, incarnation: ids.IncarnationId
     ) -> bool | None:
-        """Return whether an incarnation has ended; None if unknown."""
+        """Return whether an incarnation has ended, or None if unknown."""
         if incarnation in self.ended_incarnations:
             return True
         peer = self.peers.get(vm)
@@ -187,8 +188,8 @@
                 EXPECTED_GAP_MS
             )
         peer.detector.record_heartbeat(now_ms)
-        # Only the sender is judged anew: with all of them, the cost of
-        # heartbeats would grow with the square of the zone's size.
+        # Only the sender's state is updated. Updating all peers on each
+        # heartbeat would cost time quadratic in the size of the zone.
         return self._update_state(peer, now_ms)
 
     def _replaces(self, event: messages.HeartbeatReceived, peer: Peer) -> bool:
@@ -222,7 +223,7 @@
             peer = self._peer(entry.vm)
             peer.listed = True
             if peer.location is None or peer.state is not PeerState.LIVE:
-                # A live peer's own word is newer than the list.
+                # What a live peer reported itself is newer than the list.
                 peer.location = messages.PeerLocation(
                     entry.vm,
                     f'{entry.address}:{entry.port}',
--- a/eelgrassknot/coordination/membership_messages.py
+++ b/eelgrassknot/coordination/membership_messages.py
@@ -1,4 +1,4 @@
-"""Events that the membership of entry VMs is told."""
+"""Events of the membership of entry VMs."""
 
 import dataclasses
 
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PeerLocation:
-    """Where a peer is and where it listens to its peers."""
+    """Zone of a peer and the address on which it listens to peers."""
 
     vm: ids.VmId
     address: str
@@ -20,12 +20,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class HeartbeatReceived:
-    """A heartbeat came; the link has checked who sent it.
+    """A heartbeat was received; the link has authenticated its sender.
 
     Attributes:
-        started_ms: Wall-clock time at which the sender's run began;
-            tells two incarnations of one VM apart where both are heard.
-        unheard: Zone peers that the sender does not hear.
+        started_ms: Wall-clock time at which the sender's process started;
+            orders two incarnations of a VM if both are received.
+        unheard: Zone peers from which the sender receives no heartbeats.
     """
 
     vm: ids.VmId
--- a/eelgrassknot/coordination/membership_part.py
+++ b/eelgrassknot/coordination/membership_part.py
@@ -1,4 +1,4 @@
-"""Part of the daemon that keeps track of the other entry VMs."""
+"""Daemon part that tracks the other entry VMs."""
 
 import collections.abc
 import dataclasses
@@ -27,13 +27,14 @@
 TICK_MS = 200.0
 REMOTE_INTERVAL_MS = 2_000.0
 INTRODUCTION_MS = 10_000.0
-# How often an address of the settings is asked who is there.
+# Interval at which the known addresses of the settings are probed for the
+# name of the VM that listens there.
 ADDRESS_INTERVAL_MS = 500.0
 MIN_HEARTBEAT_MS = 400.0
 MAX_HEARTBEAT_MS = 2_000.0
-# Heartbeats become rarer as the zone grows, to hold the messages sent.
+# The heartbeat interval grows with the zone, to bound the message rate.
 MAX_HEARTBEATS_PER_S = 22.0
-# Bytes a second for all deltas of load, dispatches and demand together.
+# Total budget for deltas of load, dispatches and demand.
 DIGEST_BYTES_PER_S = 2_500.0
 MIN_DIGEST_BYTES = 64.0
 CONNECT_RETRY_S = 0.05
@@ -43,11 +44,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class EntryVmsChanged:
-    """The live entry VMs of the zone, this one among them, changed.
+    """The live entry VMs of the zone, including this one, have changed.
 
     Attributes:
-        members: Live VMs of the zone, in order of their names.
-        count: Entry VMs of the deployment that may be serving.
+        members: Names of the live VMs of the zone, sorted.
+        count: Number of entry VMs of the deployment that may be serving.
     """
 
     members: tuple[ids.VmId, ...]
@@ -56,12 +57,13 @@
 
 @parts.part('membership', after=('peers', 'config'))
 class MembershipPart(parts.Part):
-    """Sends heartbeats, hears them, and keeps the links to peers.
+    """Sends and receives heartbeats and maintains the links to peers.
 
     Attributes:
-        membership: What is known of the peers; guarded by ``lock``.
-        payload: Returns the digest that goes with a heartbeat.
-        far_loads: Returns the sums that go to other zones.
+        membership: View of the peers; guarded by ``lock``.
+        payload_source: Returns the digest for a heartbeat, given a byte
+            budget.
+        zone_load_source: Returns the load sums to send to other zones.
     """
 
     def __init__(self, node: kernel_node.Node) -> None:
@@ -71,7 +73,7 @@
             settings.vm, settings.availability_zone
         )
         self.lock = threading.Lock()
-        # Changes are acted on one at a time, in the order of the states.
+        # Serializes the handling of changes, in the order of the states.
         self.change_lock = threading.Lock()
         self.links = links.Links({}, {})
         self.last_states: dict[ids.VmId, memberships.PeerState] = {}
@@ -87,29 +89,29 @@
         node.hub.subscribe(vm_list_part.VmListRead, self._on_list_read)
 
     def bind(self) -> None:
-        """Learn of the parts that this one works with."""
+        """Look up the parts that this one uses, and register handlers."""
         self.config = self.node.part_set.parts['config']
         self.link = self.node.part_set.parts['peers'].link
         self.link.on_message(messages.Heartbeat, self._on_heartbeat)
         self.link.on_message(messages.Introduction, self._on_introduction)
 
     def start(self) -> None:
-        """Begin to send and hear heartbeats."""
+        """Start to send and receive heartbeats."""
         for address in self.node.settings.known_peers:
             self.link.connect(address, address)
             self.pending_introductions.add(address)
         self.ticker.start()
 
     def drain(self) -> None:
-        """Tell the peers at once that this VM leaves."""
+        """Notify the peers immediately that this VM is leaving."""
         self._send_heartbeats(self.node.clock.now_ms())
 
     def stop(self) -> None:
-        """Send no more."""
+        """Stop sending heartbeats."""
         self.ticker.stop()
 
     def status(self) -> dict[str, object]:
-        """Return the peers as this VM knows them."""
+        """Return the peers as seen by this VM."""
         with self.lock:
             peers = [
                 _peer_status(peer) for peer in self.membership.peers.values()
@@ -119,14 +121,14 @@
     def is_gone(
         self, vm: ids.VmId, incarnation: ids.IncarnationId
     ) -> bool | None:
-        """Return whether a VM's incarnation has ended, None if unknown."""
+        """Return whether an incarnation has ended, or None if unknown."""
         if vm == self.node.settings.vm:
             return incarnation != self.node.incarnation
         with self.lock:
             return self.membership.is_gone(vm, incarnation)
 
     def live_region_members(self) -> list[ids.VmId]:
-        """Return the VMs of this region that may be alive, in order."""
+        """Return the VMs of this region that may be alive, sorted."""
         region = self.node.settings.region
         possible = (memberships.PeerState.LIVE, memberships.PeerState.LISTED)
         with self.lock:
@@ -142,11 +144,11 @@
     def request(
         self, vm: ids.VmId, query: object, timeout_ms: float
     ) -> result.Result[object, exceptions.UpstreamError]:
-        """Ask any entry VM, connecting to it first if need be."""
+        """Query an entry VM, connecting to it first if necessary."""
         until_ms = self.node.clock.now_ms() + timeout_ms
         if not self._connect(vm, until_ms):
             error = exceptions.UpstreamError(
-                f'{vm} cannot be reached', 'ask again later', False
+                f'{vm} cannot be reached', 'retry later', False
             )
             return result.Err(error)
         left_ms = until_ms - self.node.clock.now_ms()
@@ -155,7 +157,7 @@
     def send(
         self, vm: ids.VmId, message: messages.Message, timeout_ms: float
     ) -> bool:
-        """Send to any entry VM, connecting to it first if need be."""
+        """Send to an entry VM, connecting to it first if necessary."""
         until_ms = self.node.clock.now_ms() + timeout_ms
         return self._connect(vm, until_ms) and self.link.send(vm, message)
 
@@ -196,7 +198,7 @@
             self.link.connect(envelope.vm, told.address)
             self.pending_introductions.add(envelope.vm)
         if told.address in self.pending_introductions:
-            # A known address has a name now.
+            # The VM behind this configured address is now known by name.
             self.pending_introductions.discard(told.address)
             self.link.disconnect(told.address)
 
--- a/eelgrassknot/coordination/order_part.py
+++ b/eelgrassknot/coordination/order_part.py
@@ -1,4 +1,4 @@
-"""Part of the daemon that gives a region's engine orders."""
+"""Daemon part that sends orders to the engines of a region."""
 
 import queue
 import time
@@ -30,7 +30,8 @@
 ROUND_MS = 1_000.0
 ORDER_TIMEOUT_MS = 2_000
 STATE_TIMEOUT_MS = 1_000
-# Bounds the cost of a round; a sweep of a large region takes several.
+# Bounds the cost of a round; reading all engines of a large region takes
+# several rounds.
 MAX_STATE_READS = 16
 MAX_QUEUED_REQUESTS = 1_000
 STALL_MS = 1_000.0
@@ -38,7 +39,7 @@
 
 @parts.part('orders', after=('lease', 'upstreams', 'config'))
 class OrdersPart(parts.Part):
-    """Carries out what the order planner decides, in one thread."""
+    """Executes the actions of the order planner, in one thread."""
 
     def __init__(self, node: kernel_node.Node) -> None:
         self.node = node
@@ -56,15 +57,15 @@
         subscribe(kernel_events.GenerationFacts, self._request_ended)
 
     def start(self) -> None:
-        """Begin to give orders once the lease is held."""
+        """Start the rounds; orders are sent while the lease is held."""
         self.ticker.start()
 
     def stop(self) -> None:
-        """Give no more orders."""
+        """Stop sending orders."""
         self.ticker.stop()
 
     def status(self) -> dict[str, object]:
-        """Return how far the rollouts of this region have come."""
+        """Return the state of the rollouts of this region."""
         rollouts = dict(self.planner.rollouts)
         return {
             'rollouts': {
@@ -75,7 +76,7 @@
     def _request_ended(self, facts: kernel_events.GenerationFacts) -> None:
         if self.lease_held is None or facts.upstream is None:
             return
-        # A sample is enough for the comparison of two versions.
+        # A sample of the requests suffices to compare two versions.
         if self.events.qsize() >= MAX_QUEUED_REQUESTS:
             return
         failed = facts.outcome in (
--- a/eelgrassknot/coordination/order_planner.py
+++ b/eelgrassknot/coordination/order_planner.py
@@ -11,18 +11,19 @@
 
 __all__ = ['OrderPlanner']
 
-# An order that an earlier holder sent may still arrive this late.
+# Maximum delay with which an order of an earlier holder may still arrive.
 MAX_ORDER_FLIGHT_MS = 5_000.0
 WEIGHT_LOAD_BURST = 1.0
 MS_PER_MINUTE = 60_000.0
 
 
 class OrderPlanner:
-    """Decides on all engine orders of one region.
+    """Plans all engine orders of one region.
 
     Only the holder of the region's lease gives orders. A new holder
-    waits until no order of an earlier one can still arrive, reads what
-    each engine holds, and orders what is missing until it holds it.
+    waits until no order of an earlier holder can still arrive. It then
+    reads the state of each engine and issues orders until each engine
+    has reached its target state.
     """
 
     def __init__(self) -> None:
@@ -39,11 +40,11 @@
     def handle(
         self, event: messages.Event, now_ms: float
     ) -> list[messages.Action]:
-        """Take in one event and return what is to be done.
+        """Process an event and return the actions to perform.
 
         Args:
-            event: What happened.
-            now_ms: The present time of this VM's clock.
+            event: The event.
+            now_ms: Current time of this VM's clock.
         """
         match event:
             case messages.LeaseGained():
@@ -59,7 +60,7 @@
             case messages.EngineStateUnknown(upstream):
                 self.engine_states.pop(upstream, None)
             case messages.RolloutWriteFailed(service):
-                # The next round keeps it again.
+                # The next round saves the record again.
                 self.saved_records.pop(service, None)
             case messages.IntentWritten(upstream):
                 return self._send(upstream)
@@ -123,7 +124,7 @@
         self, upstream: ids.UpstreamId, stale: bool
     ) -> None:
         self.pending.pop(upstream, None)
-        # What the engine holds now is unknown until it is read again.
+        # The engine's state is unknown until it is read again.
         self.engine_states.pop(upstream, None)
         if stale:
             self._reset()
--- a/eelgrassknot/coordination/peer_link.py
+++ b/eelgrassknot/coordination/peer_link.py
@@ -1,8 +1,9 @@
-"""Link to the other daemons by zmq: never blocks, drops and counts.
+"""Non-blocking ZeroMQ link to the other daemons.
 
-Each VM binds one PULL socket and connects one PUSH socket to each peer
-that it sends to. The library's own pings over each connection find one
-that has gone silent and replace it by a new one.
+Messages that cannot be sent at once are dropped and counted. Each VM
+binds one PULL socket and connects one PUSH socket to each peer to which
+it sends. ZeroMQ heartbeats detect a silent connection and replace it by a
+new one.
 """
 
 import collections.abc
@@ -26,14 +27,14 @@
 RECEIVE_QUEUE_MESSAGES = 4_096
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 PING_INTERVAL_MS = 2_000
-# A connection without any sign of life for so long is replaced.
+# A connection on which nothing was received for this long is replaced.
 SILENCE_LIMIT_MS = 5_000
 CONNECT_TIMEOUT_MS = 2_000
 RECONNECT_MS = 200
 MAX_RECONNECT_MS = 3_000
 POLL_MS = 500
 BATCH_DELAY_MS = 200.0
-# Questions beyond this many give the oldest one up.
+# Beyond this number of pending queries, the oldest is cancelled.
 MAX_PENDING_QUERIES = 1_024
 
 Handler = collections.abc.Callable[[messages.Envelope], None]
@@ -44,20 +45,20 @@
 
 
 class PeerLink:
-    """Sends to peers and hands what they send to handlers.
+    """Sends messages to peers and dispatches received ones to handlers.
 
-    Handlers run in the link's one receiving thread and must be short.
+    Handlers run in the link's only receiving thread and must be short.
 
     Args:
         listen: ``IP:port`` to bind; port 0 lets the system choose.
-        codec: Signs and checks the messages.
-        clock: Time for the replay guard.
-        gather_ms: How long messages are gathered before they are taken
-            in together, in milliseconds.
+        codec: Signs and verifies the messages.
+        clock: Clock for the replay guard.
+        batch_delay_ms: How long received messages are accumulated before
+            they are processed as a batch, in milliseconds.
 
     Attributes:
-        address: Address that is bound, once started.
-        addresses: Address of each peer that is connected, by name.
+        address: Bound address, once started.
+        addresses: Address of each connected peer, by name.
 
     Example:
         >>> codec = peer_codec.PeerCodec('a', 'i', 0, [b'k' * 32])
@@ -88,8 +89,8 @@
         self.pending_replies: dict[int, concurrent.futures.Future] = {}
         self.last_request = 0
         self.counters = link_counters.LinkCounters()
-        # Guards the sending sockets, which several threads use in turn,
-        # and keeps messages in the order of their sequence numbers.
+        # Guards the sending sockets, which several threads use, and keeps
+        # messages in the order of their sequence numbers.
         self.lock = threading.Lock()
         self.stopped = threading.Event()
         self.thread = threading.Thread(
@@ -97,7 +98,7 @@
         )
 
     def start(self) -> None:
-        """Bind and begin to receive.
+        """Bind the socket and start the receiving thread.
 
         Raises:
             SettingsError: If the address cannot be bound.
@@ -111,15 +112,15 @@
             self.receiver.bind(f'tcp://{self.listen}')
         except zmq.ZMQError as error:
             raise exceptions.SettingsError(
-                f'cannot listen to peers on {self.listen}: {error}',
-                'name a free address of this VM as listen.peers',
+                f'cannot listen for peers on {self.listen}: {error}',
+                'set listen.peers to a free address of this VM',
             ) from error
         endpoint = self.receiver.getsockopt_string(zmq.LAST_ENDPOINT)
         self.address = endpoint.removeprefix('tcp://')
         self.thread.start()
 
     def stop(self) -> None:
-        """Close all sockets; messages that wait are given up."""
+        """Close all sockets; queued messages are discarded."""
         self.stopped.set()
         if self.thread.ident is not None:
             self.thread.join()
@@ -130,19 +131,20 @@
         self.context.term()
 
     def on_message(self, kind: type, handler: Handler) -> None:
-        """Have a handler called with each message of a class."""
+        """Register a handler for messages of a class."""
         self.handlers.setdefault(kind, []).append(handler)
 
     def on_query(self, kind: type, handler: QueryHandler) -> None:
-        """Have a handler answer each question of a class."""
+        """Register the handler that answers queries of a class."""
         self.query_handlers[kind] = handler
 
     def connect(self, name: str, address: str) -> None:
-        """Connect to a peer, anew if its address has changed.
+        """Connect to a peer, or reconnect if its address has changed.
 
         Args:
-            name: The peer's VM, or any name while it is not known.
-            address: ``IP:port`` on which it listens to peers.
+            name: Name of the peer's VM, or its address while the name is
+                unknown.
+            address: ``IP:port`` on which the peer listens to peers.
         """
         with self.lock:
             if self.addresses.get(name) == address or self.stopped.is_set():
@@ -152,14 +154,15 @@
             self.addresses[name] = address
 
     def disconnect(self, name: str) -> None:
-        """Close the connection to a peer, if there is one."""
+        """Close the connection to a peer, if any."""
         with self.lock:
             self._close(name)
 
     def send(self, name: str, message: messages.Message) -> bool:
-        """Send to one peer; return whether a connection took it."""
+        """Send to one peer; return whether the message was queued."""
         kind = type(message).__name__
-        # A name that stands for an address is no VM to be addressed.
+        # A name that is merely an address does not identify a VM, so the
+        # message goes out without an addressee.
         to = '' if name == self.addresses.get(name) else name
         with self.lock:
             data = self.codec.encode(message, to)
@@ -173,7 +176,7 @@
         """Send the same bytes to several peers.
 
         Returns:
-            To how many of them a connection took it.
+            The number of peers for which the message was queued.
         """
         kind = type(message).__name__
         with self.lock:
@@ -183,7 +186,7 @@
     def send_query(
         self, name: str, query: messages.Query
     ) -> concurrent.futures.Future:
-        """Ask a peer; the future is given its reply if one comes."""
+        """Send a query; the future receives the reply, if any."""
         future: concurrent.futures.Future = concurrent.futures.Future()
         with self.lock:
             self.last_request += 1
@@ -205,11 +208,11 @@
         query: messages.Query,
         timeout_ms: float,
     ) -> result.Result[object, exceptions.UpstreamError]:
-        """Ask a peer and wait for its reply.
+        """Send a query and wait for the reply.
 
         Args:
-            name: The peer.
-            query: The question.
+            name: Name of the peer.
+            query: The query.
             timeout_ms: How long to wait, in milliseconds.
         """
         future = self.send_query(name, query)
@@ -221,7 +224,7 @@
         ):
             future.cancel()
             error = exceptions.UpstreamError(
-                f'no answer from {name}', 'ask again or ask another VM', True
+                f'no answer from {name}', 'retry or query another VM', True
             )
             return result.Err(error)
 
@@ -229,8 +232,8 @@
         socket = self.context.socket(zmq.PUSH)
         socket.setsockopt(zmq.SNDHWM, SEND_QUEUE_MESSAGES)
         socket.setsockopt(zmq.LINGER, 0)
-        # Without a connection a message is dropped rather than kept:
-        # the next one tells more.
+        # Without a connection, messages are dropped rather than queued:
+        # the next one carries newer data.
         socket.setsockopt(zmq.IMMEDIATE, 1)
         socket.setsockopt(zmq.CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS)
         socket.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
@@ -265,8 +268,8 @@
             if not self.receiver.poll(POLL_MS):
                 continue
             if not self.pending_replies and self.batch_delay_ms:
-                # Heartbeats come one by one; taking in several at once
-                # costs less than a wake-up for each.
+                # Processing several heartbeats as a batch costs less than
+                # waking up for each of them.
                 self.stopped.wait(self.batch_delay_ms / clocks.MS_PER_SECOND)
             self._receive_pending()
         self.receiver.close(linger=0)
@@ -290,7 +293,7 @@
                 try:
                     self._dispatch(envelope)
                 except Exception as error:
-                    # One bad message must not end the link.
+                    # One faulty message must not end the receiving thread.
                     logs.error('peer_message_failed', why=error, kind=kind)
 
     def _dispatch(self, envelope: messages.Envelope) -> None:
--- a/eelgrassknot/coordination/peer_messages.py
+++ b/eelgrassknot/coordination/peer_messages.py
@@ -1,7 +1,7 @@
 """Messages between the daemons of one deployment.
 
-They are encoded as msgpack arrays with a short tag, as most of them are
-sent every second to each peer of the zone.
+They are encoded as msgpack arrays with a numeric tag to keep them small,
+as most of them are sent to each peer of the zone every second.
 """
 
 import msgspec
@@ -41,13 +41,13 @@
 
 
 class LoadEntry(msgspec.Struct, array_like=True, frozen=True):
-    """Load of one upstream as its observer read it.
+    """Load of one upstream as polled by its observer.
 
     Attributes:
         upstream: 32-bit hash of the upstream's name and address.
         at_ms: Time on the upstream's own clock.
-        reachable: Whether the observer could reach it.
-        leaving: Whether the upstream said that it leaves.
+        reachable: Whether the observer could reach the upstream.
+        leaving: Whether the upstream reports that it is leaving.
     """
 
     upstream: int
@@ -62,7 +62,7 @@
 
 
 class InFlightEntry(msgspec.Struct, array_like=True, frozen=True):
-    """What the sender holds at one upstream by its own dispatches."""
+    """Load that the sender's own dispatches put on one upstream."""
 
     upstream: int
     running: int
@@ -70,11 +70,12 @@
 
 
 class DemandEntry(msgspec.Struct, array_like=True, frozen=True):
-    """How much of the sender's traffic a client account makes.
+    """Request rate of one client account at the sender.
 
     Attributes:
         client_account: 32-bit hash of the account's name.
-        milli_requests_per_second: Thousandths of a request a second.
+        milli_requests_per_second: Rate in thousandths of a request per
+            second.
     """
 
     client_account: int
@@ -85,7 +86,7 @@
     """Load of one service in one zone, summed over its upstreams.
 
     Attributes:
-        leaving: Hashes of the upstreams that said that they leave.
+        leaving: Hashes of the upstreams that report that they are leaving.
     """
 
     availability_zone: ids.AvailabilityZoneId
@@ -100,12 +101,12 @@
 
 
 class CacheEntry(msgspec.Struct, array_like=True, frozen=True):
-    """Prefixes that an engine stored or evicted, as its observer read.
+    """Prefixes that an engine stored or evicted, polled by its observer.
 
     Attributes:
         upstream: 32-bit hash of the upstream's name and address.
-        stored: Prefix hashes of eight bytes each, one after another.
-        evicted: The same for those that are gone.
+        stored: Concatenated prefix hashes of eight bytes each.
+        evicted: The same for evicted prefixes.
     """
 
     upstream: int
@@ -114,14 +115,16 @@
 
 
 class Heartbeat(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """Says that the sender lives, and what has changed there.
+    """Proof that the sender is alive, with its latest digest.
 
     Attributes:
-        unheard: Peers of the zone that the sender does not hear.
-        loads: Loads that the sender observed.
-        held: What the sender holds by its own dispatches.
+        unheard: Peers of the zone whose heartbeats have stopped at the
+            sender.
+        loads: Upstream loads that the sender polled.
+        held: Load that the sender's own dispatches put on upstreams.
         demands: Demand of client accounts at the sender.
-        zones: Loads of zones, forwarded to and from other zones.
+        zones: Load sums by zone, exchanged with other zones.
+        cache: Cache events of engines that the sender polled.
     """
 
     config_version: ids.ConfigVersion
@@ -135,11 +138,11 @@
 
 
 class Introduction(msgspec.Struct, array_like=True, tag=2, frozen=True):
-    """Says where the sender is; sent seldom and to new peers.
+    """Location of the sender; sent to new peers and at long intervals.
 
     Attributes:
         address: ``IP:port`` on which the sender listens to peers.
-        answer: Whether the sender wants an introduction in return.
+        answer: Whether the sender requests an introduction in return.
     """
 
     address: str
@@ -149,19 +152,19 @@
 
 
 class ListFetch(msgspec.Struct, array_like=True, tag=11, frozen=True):
-    """Asks for the whole list of VMs; answered by a ``ListChange``."""
+    """Requests the full list of VMs; answered by a ``ListChange``."""
 
 
 class ConfigFetch(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """Asks for the services text that is in force at the receiver."""
+    """Requests the services text that is in force at the receiver."""
 
 
 class ConfigReply(msgspec.Struct, array_like=True, tag=4, frozen=True):
     """The services text in force, or None.
 
     Attributes:
-        record: The accepted text; its document is left empty.
-        document: The document, compressed by zlib.
+        record: The accepted text, with an empty document.
+        document: The document, compressed with zlib.
     """
 
     record: rows.ConfigRecord | None
@@ -169,20 +172,20 @@
 
 
 class OwnerQuery(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """Asks the owner of a claim whether the call may still run."""
+    """Asks the owner of a claim whether the call may still be running."""
 
     incarnation: ids.IncarnationId
     nonce: ids.Nonce
 
 
 class OwnerReply(msgspec.Struct, array_like=True, tag=6, frozen=True):
-    """What the owner says; one of the values of ``OwnerAnswer``."""
+    """The owner's answer, which is a value of ``OwnerAnswer``."""
 
     answer: str
 
 
 class ReaderTaken(msgspec.Struct, array_like=True, tag=7, frozen=True):
-    """Says that another VM reads a generation from now on."""
+    """Notifies a VM that another one has taken over reading a generation."""
 
     generation: ids.GenerationId
     by: ids.VmId
@@ -192,9 +195,9 @@
     """Totals of the sender's runs at one engine.
 
     Attributes:
-        tokens: Memory that they take.
-        copy_tokens: Memory that copies of runs elsewhere take there.
-        unread_tokens: Prompt tokens of those without a first event.
+        tokens: Memory taken by the runs.
+        copy_tokens: Memory taken by copies of runs at other engines.
+        unread_tokens: Prompt tokens of runs without a first event.
     """
 
     engine: ids.UpstreamId
@@ -205,12 +208,12 @@
 
 
 class TableMark(msgspec.Struct, array_like=True, frozen=True):
-    """Up to when the sender knows a table of the platform's store.
+    """How recent the sender's copy of a platform table is.
 
     Attributes:
-        version: Version up to which it knows all changes.
-        changed: Version of the last change that it knows.
-        store_ms: The store's steady clock at ``version``.
+        version: Version up to which the sender has all changes.
+        changed: Version of the last change that the sender has.
+        store_ms: The store's monotonic clock at ``version``.
     """
 
     table: str
@@ -220,12 +223,12 @@
 
 
 class EntryNews(msgspec.Struct, array_like=True, tag=12, frozen=True):
-    """What a forwarding entry VM tells its peers while it lives.
+    """Periodic state of a forwarding entry VM.
 
     Attributes:
         availability_zone: Zone of the sender.
-        engines: Engines at which it has runs or copies.
-        calls: Plain calls that it has at each upstream.
+        engines: Engines at which the sender has runs or copies.
+        calls: Number of the sender's plain calls at each upstream.
     """
 
     availability_zone: ids.AvailabilityZoneId
@@ -236,12 +239,12 @@
 
 
 class ZoneNews(msgspec.Struct, array_like=True, tag=15, frozen=True):
-    """What a gateway tells of all entry VMs of its zone.
+    """State of all entry VMs of a zone, sent by a gateway.
 
     Attributes:
         availability_zone: The zone.
-        engines: Engines at which its VMs have runs or copies.
-        calls: Plain calls that they have at each upstream.
+        engines: Engines at which VMs of the zone have runs or copies.
+        calls: Number of the zone's plain calls at each upstream.
     """
 
     availability_zone: ids.AvailabilityZoneId
@@ -251,7 +254,7 @@
 
 
 class RowsFetch(msgspec.Struct, array_like=True, tag=13, frozen=True):
-    """Asks for a table if the receiver knows it beyond a version."""
+    """Requests a table if the receiver has it beyond a given version."""
 
     table: str
     version: int
@@ -266,10 +269,10 @@
 
 
 class RowsReply(msgspec.Struct, array_like=True, tag=14, frozen=True):
-    """All rows of a table, or None if the asker knows as much.
+    """All rows of a table, or None if the requester is up to date.
 
     Attributes:
-        rows: The rows, compressed as one msgpack array by zlib.
+        rows: The rows as one msgpack array, compressed with zlib.
     """
 
     mark: TableMark
@@ -280,18 +283,18 @@
 
 
 class Request(msgspec.Struct, array_like=True, tag=8, frozen=True):
-    """A question that wants a reply."""
+    """A query that expects a reply."""
 
     request: int
     query: Query
 
 
 class ListChange(msgspec.Struct, array_like=True, tag=10, frozen=True):
-    """What the sender saw change in the platform's list of VMs.
+    """Change that the sender saw in the platform's list of VMs.
 
     Attributes:
         entries: VMs that are new or have changed.
-        removed: VMs that are listed no more.
+        removed: VMs that are no longer listed.
     """
 
     entries: tuple[base.VmEntry, ...]
@@ -299,7 +302,7 @@
 
 
 class Reply(msgspec.Struct, array_like=True, tag=9, frozen=True):
-    """The reply to a question."""
+    """The reply to a query."""
 
     request: int
     answer: ConfigReply | OwnerReply | ListChange | RowsReply
@@ -318,13 +321,13 @@
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """A message with its sender; this is what the MAC covers.
+    """A message with its sender; the content that the MAC covers.
 
     Attributes:
-        started_ms: Wall-clock time at which the sender's run began, in
-            milliseconds since 1970.
-        sequence: Number of the message in the sender's run.
-        to: VM that it is meant for; empty for all.
+        started_ms: Wall-clock time at which the sender's process started,
+            in milliseconds since 1970.
+        sequence: Sequence number of the message in the sender's run.
+        to: VM to which it is addressed; empty for all.
     """
 
     vm: ids.VmId
--- a/eelgrassknot/coordination/rollout.py
+++ b/eelgrassknot/coordination/rollout.py
@@ -1,8 +1,9 @@
-"""Decides which engine is brought to a service's new model, and when.
+"""Canary rollout of a new model to the engines of a service.
 
-One engine is changed first and watched. The others follow a few at a
-time, so that the service keeps its floor of engines, unless the first
-one makes more errors or stalls than the engines that are unchanged.
+One engine, the canary, is updated and observed first. The others follow a
+few at a time, so that a minimum share of the engines keeps serving. The
+rollout halts if the canary has more errors or stalls than the unchanged
+engines.
 """
 
 import dataclasses
@@ -31,11 +32,11 @@
 
 
 class EngineProgress(enum.Enum):
-    """How far an engine has come.
+    """Progress of an engine towards the target.
 
-    ``UNKNOWN`` engines have not said what they hold, ``EMPTY`` engines
-    hold no version of the model, and ``OUTDATED`` ones serve another
-    version than the target.
+    The state of ``UNKNOWN`` engines could not be read, ``EMPTY`` engines
+    have no version of the model loaded, and ``OUTDATED`` ones serve a
+    version other than the target.
     """
 
     UNKNOWN = 'unknown'
@@ -55,7 +56,7 @@
 
 
 class Verdict(enum.Enum):
-    """What the watched engine has shown."""
+    """Result of the canary's comparison with the unchanged engines."""
 
     WATCHING = 'watching'
     GOOD = 'good'
@@ -64,17 +65,17 @@
 
 @dataclasses.dataclass
 class Health:
-    """Requests that ended at some engines.
+    """Counts of requests that ended at a group of engines.
 
     Attributes:
-        bad: Those that ended in an error or stalled.
+        bad: Number of requests that failed or stalled.
     """
 
     requests: int = 0
     bad: int = 0
 
     def bad_share(self) -> float:
-        """Return the share of bad requests, 0 without any request."""
+        """Return the share of bad requests, or 0 if there were none."""
         return self.bad / self.requests if self.requests else 0.0
 
 
@@ -84,9 +85,9 @@
     """Compare the updated engine with the unchanged ones.
 
     Args:
-        updated: What ended at the updated engine.
-        unchanged: What ended at the others in the same time.
-        watched_ms: How long the updated engine has served.
+        updated: Requests at the updated engine.
+        unchanged: Requests at the others in the same period.
+        watched_ms: How long the updated engine has been observed.
 
     Example:
         >>> compare_health(Health(40, 20), Health(200, 2), 1_000.0).value
@@ -98,16 +99,16 @@
         return Verdict.BAD if worse else Verdict.GOOD
     if watched_ms < CANARY_MAX_WATCH_MS:
         return Verdict.WATCHING
-    # Too little traffic to compare: one bad request is one too many.
+    # With too little traffic to compare, a single bad request fails.
     return Verdict.BAD if updated.bad else Verdict.GOOD
 
 
 class RolloutRecord(msgspec.Struct, frozen=True):
-    """What a holder of the lease leaves to the next one.
+    """State of a rollout that is handed to the next holder of the lease.
 
     Attributes:
-        target: Model that the rollout brings to the engines.
-        canary: Engine that is changed first.
+        target: Model to which the engines are updated.
+        canary: Engine that is updated first.
     """
 
     service: ids.ServiceName
@@ -117,13 +118,13 @@
 
 
 class Rollout:
-    """Brings the engines of one service to one target.
+    """State machine that updates the engines of one service to a target.
 
     Args:
         service: Name of the service.
-        target: Model that its engines have to hold.
-        record: What an earlier holder of the lease left, or None. A
-            record of another target is of no use and is ignored.
+        target: Model that the engines have to serve.
+        record: Record saved by an earlier holder of the lease, or None.
+            A record of another target is ignored.
     """
 
     def __init__(
@@ -144,7 +145,7 @@
             self.canary = record.canary
 
     def record(self) -> RolloutRecord:
-        """Return what the next holder of the lease has to know."""
+        """Return the state to save for the next holder of the lease."""
         return RolloutRecord(
             self.service, self.target, self.state, self.canary
         )
@@ -152,11 +153,11 @@
     def observe(
         self, progress: dict[ids.UpstreamId, EngineProgress], now_ms: float
     ) -> None:
-        """Take in how far each engine of the service has come.
+        """Update the rollout with the progress of each engine.
 
         Args:
-            progress: All live engines of the service.
-            now_ms: The present time of this VM's clock.
+            progress: Progress of all live engines of the service.
+            now_ms: Current time of this VM's clock.
         """
         self.progress = dict(progress)
         if self.canary not in progress:
@@ -178,7 +179,7 @@
         health.bad += bad
 
     def engines_to_change(self) -> list[ids.UpstreamId]:
-        """Return the engines that may be changed now, the first first."""
+        """Return the engines that may be updated now, in order."""
         match self.state:
             case RolloutState.HALTED:
                 return []
@@ -247,8 +248,8 @@
     def _max_unavailable(self) -> int:
         count = len(self.progress)
         floor = math.ceil(count * MIN_SERVING_SHARE)
-        # A service of few engines has to spare one, or it would never
-        # be changed.
+        # A service with few engines must give up one at a time, or it
+        # could never be updated.
         return max(1, count - floor)
 
     def _engines_in(self, *wanted: EngineProgress) -> list[ids.UpstreamId]:
--- a/eelgrassknot/coordination/upstream_membership.py
+++ b/eelgrassknot/coordination/upstream_membership.py
@@ -1,9 +1,9 @@
-"""Which upstreams there are and which of them may get new work.
+"""Membership of upstreams and their eligibility for new work.
 
-That an upstream leaves may be learnt from the platform's list, from the
-upstream's own word, or from a peer; the earliest counts. Leaving is
-final until the upstream is replaced: until it has gone from the list or
-has another address there.
+The platform's list, the upstream itself or a peer may report that an
+upstream is leaving; the earliest report counts. Leaving is final until
+the upstream is replaced, which means that it disappears from the list or
+is listed with another address.
 """
 
 import collections.abc
@@ -32,10 +32,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class LeavingReported:
-    """The upstream itself, or a peer, says that it leaves.
+    """The upstream itself or a peer reported that it is leaving.
 
     Attributes:
-        address: Address of the incarnation that leaves.
+        address: Address of the incarnation that is leaving.
     """
 
     upstream: ids.UpstreamId
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReachabilityChanged:
-    """Its observers can or cannot reach an upstream."""
+    """The observers of an upstream can or cannot reach it."""
 
     upstream: ids.UpstreamId
     reachable: bool
@@ -61,11 +61,11 @@
 
 
 class UpstreamMembership:
-    """The upstreams as one VM knows them.
+    """View that one VM has of the upstreams.
 
     Attributes:
         listed: Entry of each upstream in the platform's list.
-        leaving: Address of each upstream that is leaving for good.
+        leaving: Address of each upstream that is leaving.
 
     Example:
         >>> membership = UpstreamMembership()
@@ -82,11 +82,11 @@
         self.withheld: frozenset[ids.UpstreamId] = frozenset()
 
     def handle(self, event: Event) -> bool:
-        """Take in one event.
+        """Process an event.
 
         Returns:
-            Whether the upstreams may have changed by it. Almost all
-            events say what is known, and must cost little.
+            Whether the upstreams may have changed. Almost all events
+            repeat what is already known, so those must be cheap.
         """
         match event:
             case ListRead(entries):
@@ -101,14 +101,14 @@
                 return changed
 
     def upstreams(self) -> tuple[events.UpstreamInfo, ...]:
-        """Return all upstreams, in order of their names."""
+        """Return all upstreams, sorted by name."""
         return tuple(
             self._info(upstream, entry)
             for upstream, entry in sorted(self.listed.items())
         )
 
     def is_leaving(self, upstream: ids.UpstreamId) -> bool:
-        """Return whether an upstream may get no new work."""
+        """Return whether an upstream must get no new work."""
         if upstream in self.leaving or upstream in self.withheld:
             return True
         return upstream in self.unreachable
@@ -136,8 +136,8 @@
 
     def _mark_leaving(self, upstream: ids.UpstreamId, address: str) -> bool:
         entry = self.listed.get(upstream)
-        # What was said of an earlier incarnation is not held against
-        # the one that has taken its place.
+        # A report on an earlier incarnation does not apply to its
+        # successor.
         if entry is None or _address(entry) != address:
             return False
         if upstream in self.leaving:
--- a/eelgrassknot/coordination/vm_audit_part.py
+++ b/eelgrassknot/coordination/vm_audit_part.py
@@ -1,8 +1,9 @@
-"""Part of the daemon that records which VMs came and left.
+"""Daemon part that records in the audit trail which VMs joined and left.
 
-The holder of a region's lease writes the rows. The other VMs remember for
-a while what changed, so that the next holder writes what the last one may
-have left out; around a takeover a change can be recorded twice.
+The holder of a region's lease writes the rows. The other VMs retain recent
+changes for a while, so that the next holder can write those that the
+previous one may have missed. Around a takeover, a change may be recorded
+twice.
 """
 
 import collections
@@ -23,16 +24,16 @@
 
 __all__ = ['VmAuditPart']
 
-# While the store is down the newest are kept.
+# While the store is down, only the newest rows are retained.
 MAX_PENDING_ROWS = 1_000
 ROWS_PER_TRANSACTION = 50
-# Longer than a takeover takes.
+# Must exceed the duration of a takeover.
 RETENTION_MS = 30_000.0
 
 
 @parts.part('vm_audit', after=('membership', 'lease'))
 class VmAuditPart(parts.Part):
-    """Writes audit rows of the VMs of its region, as the lease holder."""
+    """Writes audit rows for the VMs of its region while holding the lease."""
 
     def __init__(self, node: kernel_node.Node) -> None:
         self.node = node
@@ -48,7 +49,7 @@
         node.hub.subscribe(vm_list_part.VmListRead, self._on_list_read)
 
     def stop(self) -> None:
-        """Write no more."""
+        """Stop writing."""
         self.executor.shutdown(wait=False, cancel_futures=True)
 
     def _on_lease_held(self, event: lease_part.LeaseHeld) -> None:
@@ -126,7 +127,7 @@
         answer = self.node.platform.table.transact(
             change, [held.condition], writes
         )
-        # A row that is written twice is the same row.
+        # Writing a row twice is harmless, as the key is the same.
         if answer.is_ok():
             with self.lock:
                 for each in noted:
--- a/eelgrassknot/coordination/vm_list.py
+++ b/eelgrassknot/coordination/vm_list.py
@@ -1,8 +1,9 @@
-"""Changes of the platform's list of VMs, as told between peers.
+"""Changes of the platform's list of VMs, exchanged between peers.
 
-Where there are thousands of VMs the list is too long for each to read
-often. Each reads it seldom, at its own times, and tells the zone what has
-changed, so that the zone hears of a change as soon as its first reader.
+In deployments of thousands of VMs, the list is too long for each VM to
+read often. Each reads it at long, staggered intervals and sends changes to
+its zone, so that the zone learns of a change with the first read that
+shows it.
 """
 
 from eelgrassknot.coordination import peer_messages as messages
@@ -17,11 +18,11 @@
 def difference(
     before: VmEntries, after: VmEntries
 ) -> messages.ListChange | None:
-    """Return what has changed, or None if nothing has.
+    """Return the changes between two lists, or None if they are equal.
 
     Args:
-        before: The list as it was known.
-        after: The list as it was read.
+        before: The list known so far.
+        after: The list that was read.
 
     Example:
         >>> difference({}, {}) is None
@@ -37,10 +38,10 @@
 
 
 def apply(known: VmEntries, change: messages.ListChange) -> VmEntries:
-    """Return the list with a change that a peer saw.
+    """Return the list with a peer's change applied.
 
-    A peer may have read an older list; the next read of one's own
-    replaces all that was told.
+    The peer may have read an older list; the next local read replaces
+    everything received from peers.
     """
     listed = {
         vm: entry for vm, entry in known.items() if vm not in change.removed
--- a/eelgrassknot/coordination/vm_list_part.py
+++ b/eelgrassknot/coordination/vm_list_part.py
@@ -1,4 +1,4 @@
-"""Part of the daemon that reads the platform's list of VMs."""
+"""Daemon part that reads the platform's list of VMs."""
 
 import concurrent.futures
 import dataclasses
@@ -20,29 +20,30 @@
 
 TICK_MS = 500.0
 LIST_POLL_MS = 2_000.0
-# The list is long where there are many VMs: each VM then reads it more
-# seldom and tells its zone what has changed.
+# Estimated size of a list entry, and budget for reading the list: with many
+# VMs, each reads the list less often and sends changes to its zone.
 LIST_ENTRY_BYTES = 150
 LIST_BYTES_PER_S = 2_000.0
 PEER_TIMEOUT_MS = 1_000.0
-# An entry that was never seen live may be that of the VM which had this
-# name before; the platform's list does not lag for longer than this.
+# A leaving entry of this VM's name that was never seen live may belong to
+# an earlier VM of the same name. The platform's list does not lag for
+# longer than this.
 STALE_ENTRY_MS = 30_000.0
 
 
 @dataclasses.dataclass(frozen=True)
 class VmListRead:
-    """The platform's list was read, or a peer told a change of it."""
+    """The platform's list was read, or a peer sent a change of it."""
 
     entries: tuple[base.VmEntry, ...]
 
 
 @parts.part('vm_list', after=('membership',))
 class VmListPart(parts.Part):
-    """Publishes the list, and tells peers what has changed in it.
+    """Publishes the list and sends its changes to peers.
 
     Attributes:
-        entries: The list as it is known, or None before the first read.
+        entries: The known list, or None before the first read.
     """
 
     def __init__(self, node: kernel_node.Node) -> None:
@@ -55,26 +56,26 @@
         self.ticker = ticker.Ticker('vm-list', TICK_MS, self._tick)
 
     def bind(self) -> None:
-        """Learn of the parts that this one works with."""
+        """Look up the parts that this one uses, and register handlers."""
         self.link = self.node.part_set.parts['peers'].link
         self.membership = self.node.part_set.parts['membership']
         self.link.on_message(messages.ListChange, self._on_list_change)
         self.link.on_query(messages.ListFetch, self._answer_fetch)
 
     def start(self) -> None:
-        """Begin to read the list."""
+        """Start to read the list."""
         self._tick()
         self.ticker.start()
 
     def stop(self) -> None:
-        """Read no more."""
+        """Stop reading."""
         self.ticker.stop()
         self.executor.shutdown(wait=False, cancel_futures=True)
 
     def not_ready_reasons(self) -> list[str]:
-        """Say so while no upstream can be known."""
+        """Return a reason while the list, and so all upstreams, is unknown."""
         if self.entries is None:
-            return ['neither the platform nor a peer has told the VM list']
+            return ['neither the platform nor a peer has provided the VM list']
         return []
 
     def _tick(self) -> None:
@@ -87,7 +88,7 @@
         entry_ms = LIST_ENTRY_BYTES / LIST_BYTES_PER_S * clocks.MS_PER_SECOND
         count = len(self.entries or ())
         interval_ms = max(LIST_POLL_MS, count * entry_ms)
-        # Spread the reads of VMs that were started together.
+        # Jitter spreads the reads of VMs that were started together.
         return interval_ms * self.node.generator.uniform(0.8, 1.0)
 
     def _read(self) -> None:
@@ -119,7 +120,7 @@
         return messages.ListChange(tuple((self.entries or {}).values()), ())
 
     def _on_list_change(self, envelope: messages.Envelope) -> None:
-        # Before this VM has read the list itself, a change tells little.
+        # A change cannot be applied before the full list is known.
         if self.entries is not None:
             self._publish(vm_list.apply(self.entries, envelope.message))
 
