--- a/benchmarks/outcomes/__main__.py
+++ b/benchmarks/outcomes/__main__.py
@@ -11,8 +11,8 @@
 from hypothesis import stateful
 import typer
 
-from tests import claim_world
-from tests import generation_world
+from tests import claim_simulation
+from tests import generation_simulation
 
 __all__ = ['main']
 
@@ -44,8 +44,8 @@
 def main(histories: int = 2_000, seed: int = 1) -> None:
     """Run histories of both kinds, and end with 1 if one is wrong."""
     worlds = (
-        hypothesis.seed(seed)(generation_world.GenerationHistories),
-        hypothesis.seed(seed)(claim_world.ClaimHistories),
+        hypothesis.seed(seed)(generation_simulation.GenerationHistories),
+        hypothesis.seed(seed)(claim_simulation.ClaimHistories),
     )
     held = [_run(world, histories) for world in worlds]
     sys.exit(0 if all(held) else 1)
--- a/eelgrassknot/coordination/digest_part.py
+++ b/eelgrassknot/coordination/digest_part.py
@@ -124,7 +124,7 @@
         state = states.UpstreamState.LIVE
         if entry.leaving:
             state = states.UpstreamState.LEAVING
-        self.dispatch.tell(
+        self.dispatch.notify(
             policy_messages.LoadReported(
                 policy_messages.EngineLoad(
                     info.upstream,
@@ -142,7 +142,7 @@
     def _pass_on_cache(
         self, info: events.UpstreamInfo, entry: messages.CacheEntry
     ) -> None:
-        self.dispatch.tell(
+        self.dispatch.notify(
             policy_messages.CacheEventsSeen(
                 info.upstream,
                 _prefixes(entry.stored),
@@ -191,7 +191,7 @@
         if info is None:
             return
         self.held.setdefault(vm, set()).add(held.upstream)
-        self.dispatch.tell(
+        self.dispatch.notify(
             policy_messages.DigestReceived(
                 vm, info.upstream, held.running, held.expected_tokens
             )
@@ -203,7 +203,7 @@
         account = self.accounts.get(demand.client_account)
         if account is not None:
             rate = demand.milli_requests_per_second / 1_000
-            self.dispatch.tell(
+            self.dispatch.notify(
                 policy_messages.AccountDemandHeard(vm, account, rate)
             )
 
@@ -239,7 +239,7 @@
                 )
         for info in known if load.upstreams else ():
             share = _average(info, load, now_ms)
-            self.dispatch.tell(policy_messages.LoadReported(share))
+            self.dispatch.notify(policy_messages.LoadReported(share))
 
     def _upstreams(self, event: events.UpstreamsChanged) -> None:
         with self.lock:
@@ -260,10 +260,10 @@
             for key in self.held.pop(vm, ()):
                 info = self._info(key)
                 if info is not None:
-                    self.dispatch.tell(
+                    self.dispatch.notify(
                         policy_messages.DigestReceived(vm, info.upstream, 0, 0)
                     )
-        self.dispatch.tell(
+        self.dispatch.notify(
             policy_messages.EntryVmsKnown(event.count, len(event.members))
         )
 
--- a/eelgrassknot/coordination/order_part.py
+++ b/eelgrassknot/coordination/order_part.py
@@ -53,7 +53,7 @@
         subscribe(lease_part.LeaseEnded, self.events.put)
         subscribe(kernel_events.ConfigAdopted, self.events.put)
         subscribe(kernel_events.UpstreamsChanged, self.events.put)
-        subscribe(kernel_events.GenerationFacts, self._request_ended)
+        subscribe(kernel_events.GenerationRecord, self._request_ended)
 
     def start(self) -> None:
         """Begin to give orders once the lease is held."""
@@ -72,7 +72,7 @@
             }
         }
 
-    def _request_ended(self, facts: kernel_events.GenerationFacts) -> None:
+    def _request_ended(self, facts: kernel_events.GenerationRecord) -> None:
         if self.lease_held is None or facts.upstream is None:
             return
         # A sample is enough for the comparison of two versions.
--- a/eelgrassknot/coordination/vm_list_part.py
+++ b/eelgrassknot/coordination/vm_list_part.py
@@ -137,4 +137,4 @@
             self.leaving_since_ms = now_ms
         leaving_ms = now_ms - self.leaving_since_ms
         if self.seen_live or leaving_ms > STALE_ENTRY_MS:
-            self.node.hub.publish(events.LeaveTold())
+            self.node.hub.publish(events.VmLeaving())
--- a/eelgrassknot/daemon.py
+++ b/eelgrassknot/daemon.py
@@ -74,7 +74,7 @@
     Raises:
         StartError: If a part of the node cannot start.
     """
-    node.hub.subscribe(events.LeaveTold, lambda _: leave.set())
+    node.hub.subscribe(events.VmLeaving, lambda _: leave.set())
     node.part_set.start()
     node.state = states.DaemonState.READY
     logs.event('ready', vm=node.settings.vm, incarnation=node.incarnation)
--- a/eelgrassknot/forwarding/call_driver.py
+++ b/eelgrassknot/forwarding/call_driver.py
@@ -201,7 +201,7 @@
             action.upstream,
             self,
             functools.partial(self._facts, action.upstream),
-            action.proven,
+            action.needs_new_connection,
         )
         if action.timeout_ms < self.work.deadline_ms - (self.now_ms()):
             self.attempt_timer = self.context.loop.call_later(
--- a/eelgrassknot/forwarding/stream_driver.py
+++ b/eelgrassknot/forwarding/stream_driver.py
@@ -54,7 +54,7 @@
         self.headers = headers
         genuine = self.driver.context.dialect.is_genuine(headers)
         if status in SUCCESS and genuine:
-            self.driver.tell(messages.Headed(self.number, True))
+            self.driver.tell(messages.HeadReceived(self.number, True))
         else:
             # Judged as a whole, since it may be of another's making.
             self.plain_body = bytearray()
@@ -76,7 +76,7 @@
         if self.splitter.pending:
             self.driver.take_event(self, None, self.splitter.pending)
         self.driver.succeeded(self)
-        self.driver.tell(messages.Ended(self.number))
+        self.driver.tell(messages.AnswerCompleted(self.number))
 
     def attempt_failed(
         self,
@@ -141,7 +141,7 @@
         self, attempt: _StreamAttempt, index: int | None, data: bytes
     ) -> None:
         """Take in a whole event."""
-        self.tell(messages.Received(attempt.number, index, data))
+        self.tell(messages.EventReceived(attempt.number, index, data))
 
     def take_failure(self, attempt: _StreamAttempt) -> None:
         """Take in a whole answer that is not a genuine success."""
@@ -154,7 +154,7 @@
             return
         self.context.book.failed(attempt.upstream.upstream, self.now_ms())
         self._log_attempt(attempt, f'status_{attempt.status}')
-        self.tell(messages.Headed(attempt.number, False))
+        self.tell(messages.HeadReceived(attempt.number, False))
 
     def take_break(
         self,
@@ -165,7 +165,7 @@
         """Take in that an attempt ended early."""
         self.context.book.failed(attempt.upstream.upstream, self.now_ms())
         self._log_attempt(attempt, fault.value)
-        self.tell(messages.Broken(attempt.number, bytes_left))
+        self.tell(messages.AttemptBroken(attempt.number, bytes_left))
 
     def succeeded(self, attempt: _StreamAttempt) -> None:
         """Take in that an attempt was answered in full."""
@@ -181,9 +181,9 @@
                 self._send(action)
             case messages.Cancel(attempt):
                 self._cancel(attempt)
-            case messages.PlaceMove():
+            case messages.PlaceCopy():
                 self._begin_move(action)
-            case messages.Move(source, target):
+            case messages.CopyMemory(source, target):
                 self._move(source, target)
             case messages.StartAnswer(attempt):
                 self._start_answer(self.attempts[attempt])
@@ -192,7 +192,7 @@
             case messages.Finish():
                 self.work.exchange.finish()
                 self._end('complete')
-            case messages.BreakOff(reason):
+            case messages.AbortAnswer(reason):
                 self.work.exchange.break_off()
                 self._end(reason)
             case messages.Fail():
@@ -302,7 +302,7 @@
         if attempt is not None and attempt.wire is not None:
             attempt.wire.cancel()
 
-    def _begin_move(self, place: messages.PlaceMove) -> None:
+    def _begin_move(self, place: messages.PlaceCopy) -> None:
         target = self.context.desk.place_copy(
             self.work.request,
             place.source,
@@ -310,7 +310,7 @@
             place.must_fit,
         )
         if target is None:
-            self.tell(messages.MoveEnded(None, None))
+            self.tell(messages.CopyEnded(None, None))
             return
         self._move(place.source, target)
 
@@ -331,7 +331,7 @@
         )
         outcome = 'made' if handle is not None else 'failed'
         metrics.COPIES.labels(outcome).inc()
-        self.tell(messages.MoveEnded(plan.target, handle))
+        self.tell(messages.CopyEnded(plan.target, handle))
 
     def _start_answer(self, attempt: _StreamAttempt) -> None:
         headers = self.context.dialect.answer_headers(attempt.headers)
--- a/eelgrassknot/frontend/callers.py
+++ b/eelgrassknot/frontend/callers.py
@@ -66,7 +66,7 @@
         self.dispatch: dispatching.DispatchPart | None = None
         self.relays: relay_part.RelayPart | None = None
         self.accounts: accounts.Accounts | None = None
-        node.hub.subscribe(events.ConfigAdopted, self._config)
+        node.hub.subscribe(events.ConfigAdopted, self._config_adopted)
         self.server = server.Server(
             node.settings.listen.callers,
             self.application,
@@ -91,7 +91,7 @@
         """Close the listener."""
         self.server.stop()
 
-    def _config(self, event: events.ConfigAdopted) -> None:
+    def _config_adopted(self, event: events.ConfigAdopted) -> None:
         self.accounts = accounts.Accounts(event.text)
 
     def application(self, environ, start_response):
@@ -163,7 +163,7 @@
         for service in context.text.services
         if service.kind is states.ServiceKind.ENGINE
         and service.service in context.account.services
-        and context.dispatch.is_offered(service.service)
+        and context.dispatch.is_available(service.service)
     ]
     body = msgspec.json.encode(openai.ModelList(entries))
     return wrappers.Response(body, mimetype='application/json')
--- a/eelgrassknot/frontend/claim_part.py
+++ b/eelgrassknot/frontend/claim_part.py
@@ -139,7 +139,7 @@
                     ended = action
                 case messages.StartCall():
                     event = messages.CallEnded(dispatch())
-                    pending += self._tell(call, event)
+                    pending += self._handle(call, event)
                 case messages.StoreOutcome():
                     self._store_later(call, action)
                 case _:
@@ -147,7 +147,7 @@
                     event = self._perform(call, action)
                     now_ms = self.node.clock.now_ms()
                     call.store_ms += now_ms - started_ms
-                    pending += self._tell(call, event)
+                    pending += self._handle(call, event)
         return ended
 
     def read_answer(
@@ -161,7 +161,7 @@
                 return msgspec.msgpack.decode(body, type=plain_messages.Answer)
         return None
 
-    def _tell(
+    def _handle(
         self, call: KeyedCall, event: messages.Event
     ) -> list[messages.Action]:
         return call.machine.handle(event, self.node.clock.now_ms())
@@ -169,7 +169,7 @@
     def _sleep(self, call: KeyedCall) -> list[messages.Action]:
         wait_ms = call.machine.wake_ms() - self.node.clock.now_ms()
         threading.Event().wait(max(wait_ms, 1.0) / clocks.MS_PER_SECOND)
-        return self._tell(call, messages.Tick())
+        return self._handle(call, messages.Tick())
 
     def _perform(
         self, call: KeyedCall, action: messages.Action
@@ -181,14 +181,16 @@
             case messages.ReadRow():
                 return self._read(call.row_key)
             case messages.AskOwner(row):
-                answer = self._ask_owner(row)
+                answer = self._query_owner(row)
                 return messages.OwnerAnswered(answer)
         raise TypeError(action)
 
-    def _ask_owner(self, row: messages.ClaimRow):
+    def _query_owner(self, row: messages.ClaimRow):
         if row.vm == self.node.settings.vm:
             return self.ledger.answer(row.incarnation, row.nonce)
-        return self.relays.peers.ask_owner(row.vm, row.incarnation, row.nonce)
+        return self.relays.peers.query_owner(
+            row.vm, row.incarnation, row.nonce
+        )
 
     def _row(
         self,
@@ -261,7 +263,7 @@
             waiting = list(self.storing.values())
         for call in waiting:
             if call.machine.wake_ms() <= now_ms:
-                self._settle(call, messages.Tick())
+                self._record_result(call, messages.Tick())
 
     def _store_group(self) -> None:
         with self.lock:
@@ -271,7 +273,7 @@
         for call, action in group:
             row = self._outcome_row(call, action)
             if row is None:
-                self._settle(call, messages.WriteUnavailable())
+                self._record_result(call, messages.WriteUnavailable())
             else:
                 rows.append((call, action.version, row))
         if not rows:
@@ -280,10 +282,10 @@
         if len(rows) > 1 and event == messages.WriteConflicted():
             # One row changed, so none was written.
             for row in rows:
-                self._settle(row[0], self._write([row]))
+                self._record_result(row[0], self._write([row]))
             return
         for call, _, _ in rows:
-            self._settle(call, event)
+            self._record_result(call, event)
 
     def _outcome_row(
         self, call: KeyedCall, action: messages.StoreOutcome
@@ -297,8 +299,8 @@
             return None
         return self._row(call, action.state, answer_object=name)
 
-    def _settle(self, call: KeyedCall, event: messages.Event) -> None:
-        actions = self._tell(call, event)
+    def _record_result(self, call: KeyedCall, event: messages.Event) -> None:
+        actions = self._handle(call, event)
         with self.lock:
             for action in actions:
                 self.due.append((call, action))
--- a/eelgrassknot/frontend/plain_calls.py
+++ b/eelgrassknot/frontend/plain_calls.py
@@ -115,18 +115,18 @@
             end = self._run()
         finally:
             done = end.outcome is states.Outcome.DONE
-            self.context.dispatch.tell(
+            self.context.dispatch.notify(
                 policy.RequestEnded(self.profile.request, done)
             )
-            self.context.node.hub.publish(self._facts(end))
+            self.context.node.hub.publish(self._record(end))
         return self._answer(end)
 
     def _run(self) -> claim_messages.EndClaim:
         placed = self._submit(policy.RequestArrived(self.profile))
         if isinstance(placed, messages.Refused):
-            return _unclaimed(self._drive(placed))
+            return _without_claim(self._run_call(placed))
         if self.machine.call_class is not messages.CallClass.KEYED:
-            return _unclaimed(self._drive(placed))
+            return _without_claim(self._run_call(placed))
         claims: claim_part.ClaimPart = self.context.node.part_set.parts[
             'claims'
         ]
@@ -135,7 +135,7 @@
             self._request_hash(),
             self.machine.deadline_ms,
         )
-        end = claims.run(keyed, lambda: self._drive(placed))
+        end = claims.run(keyed, lambda: self._run_call(placed))
         self.store_ms = keyed.store_ms
         if end.row is None:
             return end
@@ -158,7 +158,7 @@
     def _query(self) -> str:
         return self.context.http.query_string.decode('latin-1')
 
-    def _drive(self, event: messages.Event) -> messages.EndCall:
+    def _run_call(self, event: messages.Event) -> messages.EndCall:
         while True:
             actions = self.machine.handle(event, self.clock.now_ms())
             if not actions:
@@ -171,7 +171,7 @@
                 case messages.Send():
                     event = self._send(action)
                 case messages.Place(failed):
-                    self.context.dispatch.tell(policy.UpstreamFailed(failed))
+                    self.context.dispatch.notify(policy.UpstreamFailed(failed))
                     event = self._submit(
                         policy.RetryRequested(self.profile.request, failed)
                     )
@@ -186,7 +186,7 @@
     ) -> messages.Event:
         started_ms = self.clock.now_ms()
         future = self.context.dispatch.submit(event)
-        action = self._await(future)
+        action = self._await_placement(future)
         self.queue_ms += self.clock.now_ms() - started_ms
         match action:
             case policy.Dispatch(_, upstream, crosses):
@@ -195,7 +195,9 @@
                 return messages.Refused(reason, retry_after_ms)
         raise TypeError(action)
 
-    def _await(self, future: concurrent.futures.Future) -> policy.Action:
+    def _await_placement(
+        self, future: concurrent.futures.Future
+    ) -> policy.Action:
         request = self.profile.request
         while True:
             try:
@@ -222,12 +224,12 @@
             self._headers(),
             timeout_ms=action.timeout_ms,
             # A new connection is also never tried again by the library.
-            fresh_connection=action.proven,
+            fresh_connection=action.needs_new_connection,
         )
         self.upstream_ms += self.clock.now_ms() - started_ms
         match answer:
             case result.Ok(done):
-                return messages.Answered(action.attempt, self._take(done))
+                return messages.Answered(action.attempt, self._to_answer(done))
             case result.Err(error):
                 return messages.AttemptFailed(action.attempt, error.bytes_left)
 
@@ -239,7 +241,7 @@
         headers['X-Request-Id'] = self.context.request
         return headers
 
-    def _take(self, done: http_client.HttpAnswer) -> messages.Answer:
+    def _to_answer(self, done: http_client.HttpAnswer) -> messages.Answer:
         self.bytes_in += len(done.body)
         echoed = done.headers.get('x-request-id')
         if echoed is not None and echoed != self.context.request:
@@ -269,11 +271,11 @@
             status, end.outcome, end.reason, message, remedy, retry_after_ms
         )
 
-    def _facts(
+    def _record(
         self, end: claim_messages.EndClaim
-    ) -> kernel_events.PlainCallFacts:
+    ) -> kernel_events.PlainCallRecord:
         upstream = self.machine.upstream
-        return kernel_events.PlainCallFacts(
+        return kernel_events.PlainCallRecord(
             request=self.context.request,
             service=self.service.service,
             client_account=self.context.account.client_account,
@@ -291,7 +293,7 @@
         )
 
 
-def _unclaimed(end: messages.EndCall) -> claim_messages.EndClaim:
+def _without_claim(end: messages.EndCall) -> claim_messages.EndClaim:
     return claim_messages.EndClaim(
         end.outcome,
         end.reason,
--- a/eelgrassknot/frontend/relay.py
+++ b/eelgrassknot/frontend/relay.py
@@ -8,13 +8,13 @@
 
 from eelgrassknot.frontend import context as contexts
 from eelgrassknot.frontend import engine_answers
-from eelgrassknot.frontend import lane as lanes
+from eelgrassknot.frontend import stream_multiplexer
 from eelgrassknot import ids
 from eelgrassknot.kernel import events as kernel_events
 from eelgrassknot.policy import messages as policy
-from eelgrassknot.requests import facts
 from eelgrassknot.requests import generation as generations
 from eelgrassknot.requests import generation_messages as messages
+from eelgrassknot.requests import records
 from eelgrassknot import states
 from eelgrassknot.upstreams import engine_client
 from eelgrassknot.upstreams import engine_stream
@@ -27,7 +27,7 @@
 
 MAX_WAIT_MS = 500.0
 PROBE_POLL_MS = 10.0
-REPORT_TOKENS = 16
+REPORT_BATCH_TOKENS = 16
 LATE_GAP_MS = 60.0
 
 Step = (
@@ -84,10 +84,10 @@
         self.unreported = 0
         self.bytes_in = 0
         self.bytes_out = 0
-        self.cancelled: messages.CancelGeneration | None = None
+        self.cancel_action: messages.CancelGeneration | None = None
         self.encode: Encode | None = None
 
-    def deliver_by(self, encode: 'Encode') -> None:
+    def enable_multiplexing(self, encode: 'Encode') -> None:
         """Let the lane send tokens; the answer's head has been sent."""
         self.encode = encode
 
@@ -100,7 +100,7 @@
         future = self.context.dispatch.submit(
             policy.RequestArrived(self.profile)
         )
-        return self._placed(future)
+        return self._await_placement(future)
 
     def run(
         self, actions: list[messages.Action]
@@ -131,7 +131,7 @@
                         case messages.DiscardTokens():
                             yield action
                         case _:
-                            pending.extend(self._carry_out(action))
+                            pending.extend(self._perform(action))
                 if tokens:
                     yield tokens
                     tokens = []
@@ -140,7 +140,7 @@
         finally:
             self._finish()
 
-    def _carry_out(self, action: messages.Action) -> list[messages.Action]:
+    def _perform(self, action: messages.Action) -> list[messages.Action]:
         match action:
             case messages.OpenStream(connection, upstream, generation):
                 self._register(generation)
@@ -151,12 +151,12 @@
                 stream = engine_stream.EngineStream(
                     'GET', f'{url}?from={at}', None, self._headers()
                 )
-                self._use(connection, stream)
+                self._replace_stream(connection, stream)
             case messages.CloseStream():
                 self._close()
             case messages.AskStatus(probe, upstream, generation):
                 self.probe_number = probe
-                self.probe = self.part.questions.submit(
+                self.probe = self.part.query_executor.submit(
                     engine_client.status, upstream.address, generation
                 )
             case messages.CancelGeneration():
@@ -198,9 +198,9 @@
             self.body,
             headers,
         )
-        self._use(connection, stream)
+        self._replace_stream(connection, stream)
 
-    def _use(
+    def _replace_stream(
         self, connection: int, stream: engine_stream.EngineStream
     ) -> None:
         self._close()
@@ -215,21 +215,21 @@
 
     def _cancel(self, action: messages.CancelGeneration) -> None:
         if self.machine.stage is generations.Stage.ENDED:
-            self.cancelled = action
+            self.cancel_action = action
             return
         self._release()
         self.part.cancel(action, None)
 
     def _place_again(self, failed: ids.UpstreamId) -> list[messages.Action]:
         dispatch = self.context.dispatch
-        dispatch.tell(policy.UpstreamFailed(failed))
-        return self._placed(
+        dispatch.notify(policy.UpstreamFailed(failed))
+        return self._await_placement(
             dispatch.submit(
                 policy.RetryRequested(self.profile.request, failed)
             )
         )
 
-    def _placed(
+    def _await_placement(
         self, future: concurrent.futures.Future
     ) -> list[messages.Action]:
         request = self.profile.request
@@ -240,8 +240,8 @@
             except concurrent.futures.TimeoutError:
                 if self.context.caller.is_gone():
                     self.context.dispatch.cancel(request)
-                    return self._tell(messages.CallerGone())
-                ended = self._tell(messages.Tick())
+                    return self._handle(messages.CallerGone())
+                ended = self._handle(messages.Tick())
                 if ended:
                     self.context.dispatch.cancel(request)
                     return ended
@@ -250,19 +250,19 @@
                 generation = self.generation
                 if generation is None:
                     generation = ids.GenerationId(ids.random_id())
-                return self._tell(
+                return self._handle(
                     messages.Placed(upstream, generation, crosses)
                 )
             case policy.Refuse(_, reason, retry_after_ms):
-                return self._tell(messages.Refused(reason, retry_after_ms))
+                return self._handle(messages.Refused(reason, retry_after_ms))
         return []
 
-    def _tell(self, event: messages.Event) -> list[messages.Action]:
+    def _handle(self, event: messages.Event) -> list[messages.Action]:
         return self.machine.handle(event, self.clock.now_ms())
 
     def _wait(self) -> list[messages.Action]:
         if self.superseded.is_set():
-            return self._tell(messages.ReaderSuperseded())
+            return self._handle(messages.ReaderSuperseded())
         now_ms = self.clock.now_ms()
         wait_ms = min(self.machine.wake_ms() - now_ms, MAX_WAIT_MS)
         if self.probe is not None:
@@ -270,46 +270,46 @@
         wait_ms = max(wait_ms, 0.0)
         if self.stream is None:
             self.superseded.wait(wait_ms / 1000)
-            return self._idle()
-        if self._may_ride():
-            return self._ride()
+            return self._handle_idle()
+        if self._can_multiplex():
+            return self._run_multiplexed()
         events = self.stream.read(wait_ms)
         if not events:
-            return self._idle()
-        return self._take(events)
+            return self._handle_idle()
+        return self._process_events(events)
 
-    def _ride(self) -> list[messages.Action]:
-        ride = lanes.Ride(
+    def _run_multiplexed(self) -> list[messages.Action]:
+        stream = stream_multiplexer.MultiplexedStream(
             self, self.encode, self.context.caller, self.stream.descriptor
         )
-        self.part.lane.carry(ride)
-        if ride.unsent and not ride.broken:
+        self.part.multiplexer.run(stream)
+        if stream.unsent and not stream.broken:
             try:
                 # Slows this stream alone: the engine waits for us.
-                self.context.caller.socket.sendall(ride.unsent)
+                self.context.caller.socket.sendall(stream.unsent)
             except OSError:
-                ride.broken = True
-        if ride.broken:
-            return ride.actions + self._tell(messages.CallerGone())
-        if ride.events:
-            ride.actions += self._take(ride.events)
-        elif not ride.actions and not ride.unsent:
-            return self._take_ready()
-        return ride.actions
-
-    def _may_ride(self) -> bool:
+                stream.broken = True
+        if stream.broken:
+            return stream.actions + self._handle(messages.CallerGone())
+        if stream.events:
+            stream.actions += self._process_events(stream.events)
+        elif not stream.actions and not stream.unsent:
+            return self._process_ready_events()
+        return stream.actions
+
+    def _can_multiplex(self) -> bool:
         if self.encode is None or self.probe is not None:
             return False
         return self.stream.flows()
 
-    def _take_ready(self) -> list[messages.Action]:
+    def _process_ready_events(self) -> list[messages.Action]:
         # A slow caller may have kept this stream from being read.
         events = self.stream.read(0)
         if not events:
-            return self._idle()
-        return self._take(events)
+            return self._handle_idle()
+        return self._process_events(events)
 
-    def _take(
+    def _process_events(
         self, events: list[upstream_messages.StreamEvent]
     ) -> list[messages.Action]:
         now_ms = self.clock.now_ms()
@@ -318,55 +318,55 @@
         actions: list[messages.Action] = []
         for event in events:
             if type(event) is _Token:
-                actions += machine.take_token(connection, event, now_ms)
+                actions += machine.receive_token(connection, event, now_ms)
             else:
                 actions += machine.handle(
                     engine_answers.stream_event(connection, event), now_ms
                 )
-        self.report(len(actions), now_ms)
+        self.report_tokens(len(actions), now_ms)
         return actions
 
-    def _idle(self) -> list[messages.Action]:
+    def _handle_idle(self) -> list[messages.Action]:
         if self.context.caller.is_gone():
-            return self._tell(messages.CallerGone())
+            return self._handle(messages.CallerGone())
         if self.probe is not None and self.probe.done():
             answer = self.probe.result()
             self.probe = None
-            return self._tell(
+            return self._handle(
                 engine_answers.status_event(self.probe_number, answer)
             )
-        return self._tell(messages.Tick())
+        return self._handle(messages.Tick())
 
-    def report(self, count: int, now_ms: float) -> None:
+    def report_tokens(self, count: int, now_ms: float) -> None:
         """Tell the dispatcher of tokens, not each time."""
         if self.profile is None:
             return
-        tell = self.context.dispatch.tell
+        notify = self.context.dispatch.notify
         request = self.profile.request
         gaps = self.machine.progress.gaps_ms
         if not gaps and self.machine.progress.next_index == 1:
-            tell(policy.FirstTokenSeen(request))
+            notify(policy.FirstTokenSeen(request))
         elif gaps and gaps[-1] > LATE_GAP_MS:
-            tell(policy.GapObserved(request, gaps[-1]))
+            notify(policy.GapObserved(request, gaps[-1]))
         self.unreported += count
-        if self.unreported >= REPORT_TOKENS:
-            tell(policy.TokensProduced(request, self.unreported))
+        if self.unreported >= REPORT_BATCH_TOKENS:
+            notify(policy.TokensProduced(request, self.unreported))
             self.unreported = 0
 
     def _finish(self) -> None:
         if self.machine.stage is not generations.Stage.ENDED:
-            for action in self._tell(messages.CallerGone()):
+            for action in self._handle(messages.CallerGone()):
                 if not isinstance(action, messages.EndRequest):
-                    self._carry_out(action)
+                    self._perform(action)
         self._close()
         self._release()
-        held = None
+        request = None
         if self.profile is not None:
-            held = self._end_dispatch()
-        if self.cancelled is not None:
-            self.part.cancel(self.cancelled, held)
+            request = self._end_dispatch()
+        if self.cancel_action is not None:
+            self.part.cancel(self.cancel_action, request)
         self.context.node.hub.publish(
-            facts.generation_facts(
+            records.generation_record(
                 self.machine,
                 self.service,
                 self.context.account.client_account,
@@ -377,12 +377,12 @@
 
     def _end_dispatch(self) -> ids.RequestId | None:
         request = self.profile.request
-        tell = self.context.dispatch.tell
+        notify = self.context.dispatch.notify
         if self.unreported:
-            tell(policy.TokensProduced(request, self.unreported))
-        if self.cancelled is not None:
+            notify(policy.TokensProduced(request, self.unreported))
+        if self.cancel_action is not None:
             # The engine's memory is in use until it confirms.
             return request
         done = self.machine.outcome.outcome is states.Outcome.DONE
-        tell(policy.RequestEnded(request, done))
+        notify(policy.RequestEnded(request, done))
         return None
--- a/eelgrassknot/frontend/relay_part.py
+++ b/eelgrassknot/frontend/relay_part.py
@@ -8,7 +8,7 @@
 
 from eelgrassknot import clock as clocks
 from eelgrassknot.frontend import dispatching
-from eelgrassknot.frontend import lane as lanes
+from eelgrassknot.frontend import stream_multiplexer
 from eelgrassknot import ids
 from eelgrassknot.kernel import events as kernel_events
 from eelgrassknot.kernel import node as kernel_node
@@ -31,12 +31,12 @@
 __all__ = ['RelayPart']
 
 # Bounds the connections that probes and cancellations hold open.
-QUESTION_THREADS = 8
+QUERY_THREADS = 8
 CANCEL_POLL_MS = 50.0
 IDLE_POLL_MS = 5_000.0
 DRAIN_CANCELS_MS = 8_000.0
-MAX_ENGINES_ASKED = 16
-KEYED_PATIENCE_MS = 300.0
+MAX_ENGINES_QUERIED = 16
+KEYED_LOOKUP_TIMEOUT_MS = 300.0
 
 
 @parts.part('relays', after=('dispatch', 'membership'))
@@ -51,22 +51,24 @@
     def __init__(self, node: kernel_node.Node) -> None:
         self.node = node
         self.codec = cursor.CursorCodec(node.settings.cursor_keys)
-        self.peers: peers.RequestPeers = peers.NoPeers()
+        self.peers: peers.RequestPeers = peers.UnreachablePeers()
         self.lock = threading.Lock()
-        self.readers = readers.Readers()
+        self.readers = readers.ReaderRegistry()
         self.relays: dict[int, relay.Relay] = {}
         self.cancellations = cancellation.Cancellations()
-        self.held: dict[ids.GenerationId, ids.RequestId] = {}
+        self.unconfirmed: dict[ids.GenerationId, ids.RequestId] = {}
         self.upstreams: dict[str, kernel_events.UpstreamInfo] = {}
         self.dispatch: dispatching.DispatchPart | None = None
-        self.questions = concurrent.futures.ThreadPoolExecutor(
-            QUESTION_THREADS
+        self.query_executor = concurrent.futures.ThreadPoolExecutor(
+            QUERY_THREADS
         )
         self.loop = work_loop.WorkLoop(
             'cancellations', CANCEL_POLL_MS, IDLE_POLL_MS, self._cancel_due
         )
-        self.lane = lanes.Lane(node.clock)
-        node.hub.subscribe(kernel_events.UpstreamsChanged, self._upstreams)
+        self.multiplexer = stream_multiplexer.StreamMultiplexer(node.clock)
+        node.hub.subscribe(
+            kernel_events.UpstreamsChanged, self._upstreams_changed
+        )
 
     def bind(self) -> None:
         """Learn of the parts that this one works with."""
@@ -75,7 +77,7 @@
     def start(self) -> None:
         """Begin to cancel what nobody reads."""
         self.loop.start()
-        self.lane.start()
+        self.multiplexer.start()
 
     def drain(self) -> None:
         """Let callers come back, then have engines confirm the rest."""
@@ -88,8 +90,8 @@
     def stop(self) -> None:
         """End the threads."""
         self.loop.stop()
-        self.lane.stop()
-        self.questions.shutdown(cancel_futures=True)
+        self.multiplexer.stop()
+        self.query_executor.shutdown(cancel_futures=True)
 
     def status(self) -> dict[str, object]:
         """Return how many generations are read and cancelled."""
@@ -113,11 +115,11 @@
             self.relays[number] = reader
             superseded = self.relays.get(older)
             self.cancellations.withdraw(generation)
-            held = self.held.pop(generation, None)
+            request = self.unconfirmed.pop(generation, None)
         if superseded is not None:
             superseded.supersede()
-        if held is not None:
-            self.dispatch.tell(policy.RequestEnded(held, False))
+        if request is not None:
+            self.dispatch.notify(policy.RequestEnded(request, False))
         return number
 
     def release(self, generation: ids.GenerationId, number: int) -> None:
@@ -129,33 +131,35 @@
     def reader_taken(self, generation: ids.GenerationId, by: ids.VmId) -> None:
         """Hear that another VM reads a generation from now on."""
         with self.lock:
-            taken = self.readers.take(generation, by)
+            taken = self.readers.record_takeover(generation, by)
             superseded = self.relays.get(taken.reader)
             self.cancellations.withdraw(generation)
-            held = self.held.pop(generation, None)
+            request = self.unconfirmed.pop(generation, None)
         if superseded is not None:
             superseded.supersede()
-        if held is not None:
-            self.dispatch.tell(policy.RequestEnded(held, False))
+        if request is not None:
+            self.dispatch.notify(policy.RequestEnded(request, False))
         if taken.forward_to is not None:
-            self.tell_taken(taken.forward_to, generation, by)
+            self.notify_taken(taken.forward_to, generation, by)
 
-    def tell_taken(
+    def notify_taken(
         self, vm: ids.VmId, generation: ids.GenerationId, by: ids.VmId
     ) -> None:
         """Tell another VM, without waiting, who reads a generation."""
-        self.questions.submit(self.peers.tell_reader_taken, vm, generation, by)
+        self.query_executor.submit(
+            self.peers.notify_reader_taken, vm, generation, by
+        )
 
     def cancel(
         self,
         action: messages.CancelGeneration,
-        held: ids.RequestId | None,
+        request: ids.RequestId | None,
     ) -> None:
         """Cancel a generation after its grace.
 
         Args:
             action: What to cancel.
-            held: Request that holds the engine's memory until then.
+            request: Request that holds the engine's memory until then.
         """
         with self.lock:
             self.cancellations.schedule(
@@ -164,8 +168,8 @@
                 action.grace_ms,
                 self.node.clock.now_ms(),
             )
-            if held is not None:
-                self.held[action.generation] = held
+            if request is not None:
+                self.unconfirmed[action.generation] = request
         self.loop.wake()
 
     def find_upstream(
@@ -187,15 +191,15 @@
             upstream
             for upstream in self.upstreams.values()
             if upstream.service == service
-        ][:MAX_ENGINES_ASKED]
+        ][:MAX_ENGINES_QUERIED]
         asked = {
-            self.questions.submit(
+            self.query_executor.submit(
                 engine_client.status, engine.address, generation
             ): engine
             for engine in engines
         }
         done, _ = concurrent.futures.wait(
-            asked, KEYED_PATIENCE_MS / clocks.MS_PER_SECOND
+            asked, KEYED_LOOKUP_TIMEOUT_MS / clocks.MS_PER_SECOND
         )
         for future in done:
             match future.result():
@@ -204,19 +208,21 @@
                         return asked[future]
         return None
 
-    def _upstreams(self, event: kernel_events.UpstreamsChanged) -> None:
+    def _upstreams_changed(
+        self, event: kernel_events.UpstreamsChanged
+    ) -> None:
         known = {u.upstream: u for u in event.upstreams}
         with self.lock:
             self.upstreams = known
-            gone = self.cancellations.keep_upstreams(known)
+            gone = self.cancellations.remove_missing_upstreams(known)
         for generation in gone:
-            self._settle(generation)
+            self._release_request(generation)
 
     def _cancel_due(self) -> bool:
         with self.lock:
-            due = self.cancellations.take_due(self.node.clock.now_ms())
+            due = self.cancellations.pop_due(self.node.clock.now_ms())
         for entry in due:
-            self.questions.submit(self._cancel_now, entry)
+            self.query_executor.submit(self._cancel_now, entry)
         return bool(self.cancellations.pending)
 
     def _cancel_now(self, entry: cancellation.Cancellation) -> None:
@@ -224,7 +230,7 @@
             case result.Ok():
                 with self.lock:
                     self.cancellations.confirm(entry.generation)
-                self._settle(entry.generation)
+                self._release_request(entry.generation)
             case result.Err(error):
                 logs.event(
                     'cancel_unconfirmed',
@@ -233,8 +239,8 @@
                     reason=error.message,
                 )
 
-    def _settle(self, generation: ids.GenerationId) -> None:
+    def _release_request(self, generation: ids.GenerationId) -> None:
         with self.lock:
-            held = self.held.pop(generation, None)
-        if held is not None:
-            self.dispatch.tell(policy.RequestEnded(held, False))
+            request = self.unconfirmed.pop(generation, None)
+        if request is not None:
+            self.dispatch.notify(policy.RequestEnded(request, False))
--- a/eelgrassknot/requests/claim.py
+++ b/eelgrassknot/requests/claim.py
@@ -12,15 +12,15 @@
 __all__ = ['Claim', 'ClaimStage']
 
 NEVER_MS = float('inf')
-STORE_PATIENCE_MS = 3_000.0
+STORE_TIMEOUT_MS = 3_000.0
 STORE_RETRY_MS = 100.0
 POLL_MS = 150.0
 MAX_POLL_MS = 1_000.0
 OUTCOME_RETRY_MS = 250.0
 MAX_OUTCOME_RETRY_MS = 10_000.0
-OUTCOME_PATIENCE_MS = 600_000.0
+OUTCOME_TIMEOUT_MS = 600_000.0
 
-_OWNER_MAY_STILL_RUN = (
+_POSSIBLY_RUNNING = (
     peers.OwnerAnswer.RUNNING,
     peers.OwnerAnswer.UNREACHABLE,
 )
@@ -54,9 +54,9 @@
 
     Attributes:
         version: Version of the row that this claim holds.
-        expected: Version that the write on its way asks for.
-        uncertain: Whether a write of this nonce may land later.
-        met_other: Whether another claim of the key has been met, so
+        expected_version: Version that the write on its way asks for.
+        write_may_land: Whether a write of this nonce may land later.
+        found_other_claim: Whether another claim of the key has been met, so
             that the call may have run whatever this VM does.
     """
 
@@ -72,20 +72,20 @@
         self.nonce = nonce
         self.ledger = ledger
         self.deadline_ms = deadline_ms
-        self.store_until_ms = min(deadline_ms, now_ms + STORE_PATIENCE_MS)
+        self.store_deadline_ms = min(deadline_ms, now_ms + STORE_TIMEOUT_MS)
         self.stage = ClaimStage.WRITING
-        self.expected: int | None = None
+        self.expected_version: int | None = None
         self.version = 0
-        self.uncertain = False
-        self.met_other = False
-        self.found: messages.RowRead | None = None
-        self.judged_version: int | None = None
+        self.write_may_land = False
+        self.found_other_claim = False
+        self.found_row: messages.RowRead | None = None
+        self.rechecked_version: int | None = None
         self.wake_at_ms = NEVER_MS
         self.next_action: messages.Action | None = None
         self.poll_ms = POLL_MS
         self.retry_ms = OUTCOME_RETRY_MS
-        self.stored: messages.StoreOutcome | None = None
-        self.stored_until_ms = NEVER_MS
+        self.outcome_write: messages.StoreOutcome | None = None
+        self.outcome_deadline_ms = NEVER_MS
 
     def start(self) -> list[messages.Action]:
         """Begin to claim the key."""
@@ -109,19 +109,19 @@
                     return self._call_ended(event.end, now_ms)
                 return []
             case ClaimStage.STORING:
-                return self._storing(event, now_ms)
+                return self._handle_storing(event, now_ms)
         match event:
             case messages.WriteCommitted(version):
-                return self._hold(version, now_ms)
+                return self._claim_acquired(version, now_ms)
             case messages.WriteConflicted():
-                self.met_other = True
+                self.found_other_claim = True
                 return self._read()
             case messages.WriteUnknown():
-                self.uncertain = True
+                self.write_may_land = True
                 return self._read()
             case messages.WriteUnavailable():
                 return self._store_failed(
-                    messages.WriteClaim(self.expected), now_ms
+                    messages.WriteClaim(self.expected_version), now_ms
                 )
             case messages.ReadFailed():
                 return self._store_failed(messages.ReadRow(), now_ms)
@@ -139,7 +139,7 @@
 
     def _write(self, version: int | None) -> list[messages.Action]:
         self.stage = ClaimStage.WRITING
-        self.expected = version
+        self.expected_version = version
         return [messages.WriteClaim(version)]
 
     def _read(self) -> list[messages.Action]:
@@ -166,7 +166,7 @@
     def _store_failed(
         self, retried: messages.Action, now_ms: float
     ) -> list[messages.Action]:
-        if now_ms < self.store_until_ms:
+        if now_ms < self.store_deadline_ms:
             return self._wait(retried, STORE_RETRY_MS, now_ms)
         return self._give_up(
             states.RefusalReason.STORE_UNAVAILABLE.value, now_ms
@@ -174,16 +174,16 @@
 
     def _give_up(self, reason: str, now_ms: float) -> list[messages.Action]:
         outcome = states.Outcome.NOT_RUN
-        if self.met_other:
+        if self.found_other_claim:
             outcome = states.Outcome.UNKNOWN
         return self._end(messages.EndClaim(outcome, reason))
 
     def _end(self, end: messages.EndClaim) -> list[messages.Action]:
         self.stage = ClaimStage.ENDED
-        if self.uncertain:
+        if self.write_may_land:
             self.ledger.abandon(self.nonce)
         else:
-            self.ledger.forget(self.nonce)
+            self.ledger.remove(self.nonce)
         return [end]
 
     def _row_read(
@@ -195,15 +195,15 @@
         if row is None:
             # Absent does not mean that the write will not land: the same
             # write again makes sure that one of the two did.
-            if now_ms >= self.store_until_ms:
+            if now_ms >= self.store_deadline_ms:
                 return self._give_up(
                     states.RefusalReason.STORE_UNAVAILABLE.value, now_ms
                 )
             return self._write(None)
         if row.nonce == self.nonce:
-            return self._hold(event.version, now_ms)
-        self.met_other = True
-        self.found = event
+            return self._claim_acquired(event.version, now_ms)
+        self.found_other_claim = True
+        self.found_row = event
         if row.request_hash != self.request_hash:
             return self._end(
                 messages.EndClaim(states.Outcome.INVALID, 'key_reused')
@@ -219,23 +219,25 @@
         return [messages.AskOwner(row)]
 
     def _replace(self, version: int, now_ms: float) -> list[messages.Action]:
-        self.met_other = False
-        self.store_until_ms = min(self.deadline_ms, now_ms + STORE_PATIENCE_MS)
+        self.found_other_claim = False
+        self.store_deadline_ms = min(
+            self.deadline_ms, now_ms + STORE_TIMEOUT_MS
+        )
         return self._write(version)
 
     def _owner_answered(
         self, answer: peers.OwnerAnswer, now_ms: float
     ) -> list[messages.Action]:
         if answer is peers.OwnerAnswer.ABANDONED:
-            return self._replace(self.found.version, now_ms)
-        if answer in _OWNER_MAY_STILL_RUN:
+            return self._replace(self.found_row.version, now_ms)
+        if answer in _POSSIBLY_RUNNING:
             return self._poll(now_ms)
-        if self.judged_version == self.found.version:
+        if self.rechecked_version == self.found_row.version:
             return self._end(
                 messages.EndClaim(states.Outcome.UNKNOWN, 'owner_gone')
             )
         # The owner may have stored the answer just before it went.
-        self.judged_version = self.found.version
+        self.rechecked_version = self.found_row.version
         return self._read()
 
     def _poll(self, now_ms: float) -> list[messages.Action]:
@@ -243,12 +245,14 @@
             return self._end(
                 messages.EndClaim(states.Outcome.UNKNOWN, 'still_running')
             )
-        self.store_until_ms = self.deadline_ms
+        self.store_deadline_ms = self.deadline_ms
         waited = self._wait(messages.ReadRow(), self.poll_ms, now_ms)
         self.poll_ms = min(2 * self.poll_ms, MAX_POLL_MS)
         return waited
 
-    def _hold(self, version: int, now_ms: float) -> list[messages.Action]:
+    def _claim_acquired(
+        self, version: int, now_ms: float
+    ) -> list[messages.Action]:
         self.version = version
         if now_ms >= self.deadline_ms:
             # Paused or delayed: the caller has given up, so running the
@@ -286,25 +290,25 @@
         now_ms: float,
     ) -> list[messages.Action]:
         self.stage = ClaimStage.STORING
-        self.stored = messages.StoreOutcome(self.version, state, answer)
-        self.stored_until_ms = now_ms + OUTCOME_PATIENCE_MS
-        return [self.stored]
+        self.outcome_write = messages.StoreOutcome(self.version, state, answer)
+        self.outcome_deadline_ms = now_ms + OUTCOME_TIMEOUT_MS
+        return [self.outcome_write]
 
-    def _storing(
+    def _handle_storing(
         self, event: messages.Event, now_ms: float
     ) -> list[messages.Action]:
         match event:
             case messages.WriteCommitted() | messages.WriteConflicted():
                 # Only this claim's own write can have changed its row.
                 self.stage = ClaimStage.ENDED
-                self.ledger.forget(self.nonce)
+                self.ledger.remove(self.nonce)
                 return []
             case messages.Tick():
                 if now_ms < self.wake_at_ms:
                     return []
                 self.wake_at_ms = NEVER_MS
-                return [self.stored]
-        if now_ms >= self.stored_until_ms:
+                return [self.outcome_write]
+        if now_ms >= self.outcome_deadline_ms:
             self.stage = ClaimStage.ENDED
             self.ledger.mark_unknown(self.nonce)
             return []
--- a/eelgrassknot/requests/forwarded_stream.py
+++ b/eelgrassknot/requests/forwarded_stream.py
@@ -32,13 +32,13 @@
 COPY_AGE_MS = 250.0
 """A copy made on request is brought up to date before a planned change if
 it is older than this; ms. What it lacks is read and delays the stream."""
-COPY_TRIES = 3
+MAX_COPY_TRIES = 3
 """How often a growing copy is tried that was not there yet."""
 LEAVE_SPREAD_MS = 1_100.0
 """Runs with a copy leave an engine within this time of its notice; ms.
 Engines give 1.5 s; all at once would delay each other, and some end before
 they have to leave. Runs without a copy need all the time there is."""
-SILENCE_MS = 700.0
+SILENCE_TIMEOUT_MS = 700.0
 """Events that stay away for so long are taken for a lost upstream, if
 there is a copy to go on from; ms."""
 SWITCH_RETRY_MS = 150.0
@@ -70,7 +70,7 @@
         run: The attempt whose events are forwarded.
         successor: The attempt that is to take over from it.
         last_event: Last event that was forwarded, or None.
-        answered: Whether the head of an answer was forwarded.
+        answer_started: Whether the head of an answer was forwarded.
         may_have_run: Whether a byte of any attempt may have left.
         takeovers: How often another upstream went on with the stream.
     """
@@ -94,10 +94,10 @@
         self.leaving: set[str] = set()
         self.failed: set[str] = set()
         self.attempt = 0
-        self.runs_begun = 0
-        self.answered = False
+        self.runs_started = 0
+        self.answer_started = False
         self.may_have_run = False
-        self.moving = False
+        self.copying = False
         self.must_leave = False
         self.switch_at_ms = NEVER_MS
         self.copy_at_ms = NEVER_MS
@@ -118,26 +118,26 @@
             return []
         match event:
             case messages.Placed(upstream):
-                return self._send_anew(upstream, now_ms)
+                return self._start_run(upstream, now_ms)
             case messages.CopyPlaced(attempt, upstream):
                 self._copy_placed(attempt, upstream)
                 return []
             case messages.Refused(reason, retry_after_ms):
                 return self._give_up(reason.value, retry_after_ms)
-            case messages.Headed(attempt, accepted):
-                return self._headed(attempt, accepted, now_ms)
-            case messages.Received(attempt, index, data):
-                return self._received(attempt, index, data, now_ms)
-            case messages.Ended(attempt):
-                return self._ended(attempt)
-            case messages.Broken(attempt, bytes_left):
-                return self._broken(attempt, bytes_left, now_ms)
+            case messages.HeadReceived(attempt, accepted):
+                return self._head_received(attempt, accepted, now_ms)
+            case messages.EventReceived(attempt, index, data):
+                return self._event_received(attempt, index, data, now_ms)
+            case messages.AnswerCompleted(attempt):
+                return self._answer_completed(attempt)
+            case messages.AttemptBroken(attempt, may_have_sent):
+                return self._attempt_broken(attempt, may_have_sent, now_ms)
             case messages.NotRun(attempt):
                 return self._not_run(attempt, now_ms)
             case messages.UpstreamLeaving(upstream):
                 return self._upstream_leaving(upstream, now_ms)
-            case messages.MoveEnded():
-                return self._move_ended(event, now_ms)
+            case messages.CopyEnded():
+                return self._copy_ended(event, now_ms)
             case messages.Tick():
                 return self._tick(now_ms)
         return []
@@ -145,20 +145,22 @@
     def wake_ms(self) -> float:
         """Return the time at which a tick is needed next."""
         wake_ms = self.deadline_ms
-        if self._is_settled():
+        if self._has_single_run():
             wake_ms = min(wake_ms, self.switch_at_ms, self.copy_at_ms)
             if self._can_use_copy():
-                wake_ms = min(wake_ms, self.run.heard_ms + SILENCE_MS)
+                wake_ms = min(
+                    wake_ms, self.run.last_activity_ms + SILENCE_TIMEOUT_MS
+                )
         return wake_ms
 
     # Sending
 
-    def _send_anew(
+    def _start_run(
         self, upstream: kernel_events.UpstreamInfo, now_ms: float
     ) -> list[messages.Action]:
         self.stage = _Stage.RUNNING
         self.run = self._next_run(upstream, now_ms)
-        self.runs_begun += 1
+        self.runs_started += 1
         wants_copy = self.rules.can_copy and not self.rules.resumable
         return [
             messages.Send(
@@ -193,7 +195,7 @@
         self, upstream: kernel_events.UpstreamInfo, now_ms: float
     ) -> stream_run.Run:
         self.attempt += 1
-        return stream_run.Run(self.attempt, upstream, heard_ms=now_ms)
+        return stream_run.Run(self.attempt, upstream, last_activity_ms=now_ms)
 
     def _continue_at_copy(self, now_ms: float) -> list[messages.Action]:
         copy = self.run.copy
@@ -205,7 +207,7 @@
     def _copy_placed(
         self, attempt: int, holder: kernel_events.UpstreamInfo | None
     ) -> None:
-        run = self._find(attempt)
+        run = self._find_run(attempt)
         if run is None or holder is None:
             return
         name = f'{holder.address}/{self.request}'
@@ -213,11 +215,11 @@
 
     # Answers
 
-    def _headed(
+    def _head_received(
         self, attempt: int, accepted: bool, now_ms: float
     ) -> list[messages.Action]:
         self.may_have_run = True
-        run = self._find(attempt)
+        run = self._find_run(attempt)
         if run is None:
             return []
         if not accepted:
@@ -227,25 +229,25 @@
                     messages.Cancel(attempt),
                     *self._after_lost_successor(now_ms),
                 ]
-            if self.answered:
+            if self.answer_started:
                 cancel = messages.Cancel(attempt)
-                return [cancel, *self._end_broken('not_resumed')]
+                return [cancel, *self._abort_answer('not_resumed')]
             self.stage = _Stage.ENDED
             return [messages.StartAnswer(attempt)]
-        run.headed = True
-        run.heard_ms = now_ms
+        run.head_received = True
+        run.last_activity_ms = now_ms
         actions: list[messages.Action] = []
         if run is self.successor:
             actions += self._take_over()
-        if not self.answered:
-            self.answered = True
+        if not self.answer_started:
+            self.answer_started = True
             actions.append(messages.StartAnswer(attempt))
         return actions
 
     def _take_over(self) -> list[messages.Action]:
         old, self.run = self.run, self.successor
         self.successor = None
-        self.moving = False
+        self.copying = False
         self.must_leave = self.run.upstream.upstream in self.leaving
         self.switch_at_ms = NEVER_MS
         self.copy_at_ms = NEVER_MS
@@ -253,12 +255,12 @@
         self.takeovers += 1
         return [messages.Cancel(old.attempt)]
 
-    def _received(
+    def _event_received(
         self, attempt: int, index: int | None, data: bytes, now_ms: float
     ) -> list[messages.Action]:
         if self.run is None or attempt != self.run.attempt:
             return []
-        self.run.heard_ms = now_ms
+        self.run.last_activity_ms = now_ms
         if self.run.first_event_ms is None:
             self._take_first_event(now_ms)
         if index is not None and self.last_event is not None:
@@ -266,7 +268,7 @@
                 return []
             if index != self.last_event + 1:
                 cancel = messages.Cancel(attempt)
-                return [cancel, *self._end_broken('event_missing')]
+                return [cancel, *self._abort_answer('event_missing')]
         if index is not None:
             self.last_event = index
         return [messages.Forward(data)]
@@ -279,7 +281,7 @@
                 run.copy, usable_ms=now_ms + COPY_GROWTH_MS
             )
 
-    def _ended(self, attempt: int) -> list[messages.Action]:
+    def _answer_completed(self, attempt: int) -> list[messages.Action]:
         if self.run is None or attempt != self.run.attempt:
             return []
         self.stage = _Stage.ENDED
@@ -290,11 +292,11 @@
 
     # Losses
 
-    def _broken(
-        self, attempt: int, bytes_left: bool, now_ms: float
+    def _attempt_broken(
+        self, attempt: int, may_have_sent: bool, now_ms: float
     ) -> list[messages.Action]:
-        self.may_have_run = self.may_have_run or bytes_left
-        run = self._find(attempt)
+        self.may_have_run = self.may_have_run or may_have_sent
+        run = self._find_run(attempt)
         if run is None:
             return []
         self.failed.add(run.upstream.upstream)
@@ -304,21 +306,24 @@
         if self.successor is not None:
             # The successor goes on from here, whatever became of this.
             return []
-        if not bytes_left:
-            self.runs_begun -= 1
+        if not may_have_sent:
+            self.runs_started -= 1
             return self._place_again()
         return self._after_lost_run(now_ms)
 
     def _after_lost_run(self, now_ms: float) -> list[messages.Action]:
         if self.run.copy is not None:
             return self._continue_at_copy(now_ms)
-        if self.moving:
+        if self.copying:
             # The copy that is being made may still arrive.
             return []
-        return self._run_anew()
+        return self._restart()
 
-    def _run_anew(self) -> list[messages.Action]:
-        if self.rules.resumable and self.runs_begun < self.rules.max_attempts:
+    def _restart(self) -> list[messages.Action]:
+        if (
+            self.rules.resumable
+            and self.runs_started < self.rules.max_attempts
+        ):
             return self._place_again()
         return self._give_up('upstream_lost', None)
 
@@ -330,7 +335,7 @@
         return self._tick(now_ms)
 
     def _not_run(self, attempt: int, now_ms: float) -> list[messages.Action]:
-        run = self._find(attempt)
+        run = self._find_run(attempt)
         if run is None:
             return []
         if run is self.successor:
@@ -338,13 +343,13 @@
             self._keep_refused_copy(now_ms)
             return self._after_lost_successor(now_ms)
         self.failed.add(run.upstream.upstream)
-        self.runs_begun -= 1
+        self.runs_started -= 1
         return self._place_again()
 
     def _keep_refused_copy(self, now_ms: float) -> None:
         """Keep a copy that was refused: it may not have been there yet."""
         copy = self.tried_copy
-        if copy is None or not copy.grows or copy.tries + 1 >= COPY_TRIES:
+        if copy is None or not copy.grows or copy.tries + 1 >= MAX_COPY_TRIES:
             return
         if copy.holder.upstream not in self.leaving:
             self.run.copy = dataclasses.replace(
@@ -383,16 +388,16 @@
     def _tick(self, now_ms: float) -> list[messages.Action]:
         if now_ms >= self.deadline_ms:
             return self._give_up('deadline', None)
-        if not self._is_settled():
+        if not self._has_single_run():
             return []
         if now_ms >= self.switch_at_ms:
             return self._leave_upstream(now_ms)
         if now_ms >= self.copy_at_ms:
             self.copy_at_ms = NEVER_MS
             return self._make_copy()
-        silent = now_ms >= self.run.heard_ms + SILENCE_MS
+        silent = now_ms >= self.run.last_activity_ms + SILENCE_TIMEOUT_MS
         if silent and self._can_use_copy():
-            self.run.heard_ms = now_ms
+            self.run.last_activity_ms = now_ms
             return self._continue_at_copy(now_ms)
         return []
 
@@ -420,18 +425,18 @@
             return []
         if run.copy is not None and run.copy.grows:
             return []
-        self.moving = True
+        self.copying = True
         if run.copy is not None:
-            return [messages.Move(run.upstream, run.copy.holder)]
+            return [messages.CopyMemory(run.upstream, run.copy.holder)]
         refused = frozenset(self.refused_copies | self.leaving)
-        return [messages.PlaceMove(run.upstream, refused, not self.must_leave)]
+        return [messages.PlaceCopy(run.upstream, refused, not self.must_leave)]
 
-    def _move_ended(
-        self, event: messages.MoveEnded, now_ms: float
+    def _copy_ended(
+        self, event: messages.CopyEnded, now_ms: float
     ) -> list[messages.Action]:
-        if not self.moving or self.run is None:
+        if not self.copying or self.run is None:
             return []
-        self.moving = False
+        self.copying = False
         run = self.run
         if event.handle is not None:
             name = f'{run.upstream.address}/{event.handle}'
@@ -469,22 +474,24 @@
             for run in (self.run, self.successor)
             if run is not None
         ]
-        if self.answered:
-            return [*cancels, *self._end_broken(reason)]
+        if self.answer_started:
+            return [*cancels, *self._abort_answer(reason)]
         self.stage = _Stage.ENDED
         outcome = states.Outcome.NOT_RUN
         if self.may_have_run or cancels:
             outcome = states.Outcome.UNKNOWN
         return [*cancels, messages.Fail(outcome, reason, retry_after_ms)]
 
-    def _end_broken(self, reason: str) -> list[messages.Action]:
+    def _abort_answer(self, reason: str) -> list[messages.Action]:
         self.stage = _Stage.ENDED
-        return [messages.BreakOff(reason)]
+        return [messages.AbortAnswer(reason)]
 
-    def _is_settled(self) -> bool:
+    def _has_single_run(self) -> bool:
         """Return whether one attempt runs and no other is on its way."""
         return (
-            self.run is not None and self.successor is None and not self.moving
+            self.run is not None
+            and self.successor is None
+            and not self.copying
         )
 
     def _can_use_copy(self) -> bool:
@@ -493,10 +500,10 @@
             run is not None
             and run.copy is not None
             and run.first_event_ms is not None
-            and run.heard_ms >= run.first_event_ms
+            and run.last_activity_ms >= run.first_event_ms
         )
 
-    def _find(self, attempt: int) -> stream_run.Run | None:
+    def _find_run(self, attempt: int) -> stream_run.Run | None:
         for run in (self.run, self.successor):
             if run is not None and run.attempt == attempt:
                 return run
--- a/eelgrassknot/requests/generation.py
+++ b/eelgrassknot/requests/generation.py
@@ -94,18 +94,20 @@
             return []
         match event:
             case messages.TokenReceived(connection, token):
-                return self.take_token(connection, token, now_ms)
+                return self.receive_token(connection, token, now_ms)
             case messages.Placed():
                 return self._open(event, now_ms)
             case messages.Refused(reason, retry_after_ms):
                 self.progress.timeline.charge(
                     timelines.TimePart.ENTRY_QUEUE, now_ms
                 )
-                return self._end(self._nothing(reason.value, retry_after_ms))
+                return self._end(self._no_answer(reason.value, retry_after_ms))
             case messages.CallerGone():
-                return self._leave('caller_gone', RESUME_GRACE_MS, now_ms)
+                return self._stop_reading(
+                    'caller_gone', RESUME_GRACE_MS, now_ms
+                )
             case messages.ReaderSuperseded():
-                return self._leave('superseded', None, now_ms)
+                return self._stop_reading('superseded', None, now_ms)
             case messages.Tick():
                 return self._tick(now_ms)
             case (
@@ -138,10 +140,10 @@
         self.checks_request = False
         self.attempts = MAX_ATTEMPTS
         self._mark_sent()
-        self.progress.begin(index, now_ms)
+        self.progress.start_attempt(index, now_ms)
         return self._reconnect(now_ms)
 
-    def take_token(
+    def receive_token(
         self, connection: int, token: upstream_messages.Token, now_ms: float
     ) -> list[messages.Action]:
         """Take in a token; deliver it if it is the next one.
@@ -159,9 +161,9 @@
         if token.index < progress.next_index:
             return []
         if self.recovery.failures or not self.sent:
-            self.recovery.succeed()
+            self.recovery.record_success()
             self._mark_sent()
-        progress.advance(now_ms)
+        progress.record_token(now_ms)
         delivery = messages.DeliverToken(token)
         if token.finish_reason is None:
             return [delivery]
@@ -174,7 +176,7 @@
         """Return the time at which a tick is needed next."""
         wake_ms = NEVER_MS
         if self.stage is Stage.STREAMING and self.probe is None:
-            wake_ms = self.progress.silent_at_ms
+            wake_ms = self.progress.silence_deadline_ms
         elif self.stage is Stage.RECONNECTING:
             wake_ms = self.reconnect_at_ms
         return min(wake_ms, self.deadline_ms)
@@ -191,11 +193,11 @@
         self.generation = placed.generation
         self.crosses_region = placed.crosses_region
         self.attempts += 1
-        self.recovery.succeed()
+        self.recovery.record_success()
         self.sent = False
         self.resuming = False
         self.probe = None
-        self.progress.begin(0, now_ms)
+        self.progress.start_attempt(0, now_ms)
         self.stage = Stage.STREAMING
         number = self._next_connection()
         return [
@@ -228,9 +230,9 @@
         # this connection can be trusted.
         self._mark_sent()
         closed = self._drop_stream()
-        if self.recovery.may_replace_faulty():
+        if self.recovery.record_faulty_stream():
             return closed + self._reconnect(now_ms)
-        return closed + self._lose('faulty_streams', now_ms)
+        return closed + self._generation_lost('faulty_streams', now_ms)
 
     def _connection_event(
         self, event: messages.Event, now_ms: float
@@ -243,14 +245,14 @@
                 if self.resuming:
                     return self._resume_rejected(status, now_ms)
                 return self._rejected(event, now_ms)
-            case messages.StreamClosed(bytes_left=bytes_left):
+            case messages.StreamClosed(may_have_sent=may_have_sent):
                 self.connection = None
-                return self._closed(bytes_left, now_ms)
+                return self._closed(may_have_sent, now_ms)
             case messages.StreamFinished():
                 # No last token came, so only a status can tell.
                 self.connection = None
                 self._mark_sent()
-                self.progress.silent_at_ms = now_ms
+                self.progress.silence_deadline_ms = now_ms
                 return self._tick(now_ms)
         self._mark_sent()
         return []
@@ -276,31 +278,31 @@
         self, status: int, now_ms: float
     ) -> list[messages.Action]:
         if status == NOT_FOUND_STATUS:
-            return self._lose('generation_missing', now_ms)
+            return self._generation_lost('generation_missing', now_ms)
         return self._count_failure(now_ms)
 
-    def _closed(self, bytes_left: bool, now_ms: float) -> list:
-        if not bytes_left and not self.sent:
+    def _closed(self, may_have_sent: bool, now_ms: float) -> list:
+        if not may_have_sent and not self.sent:
             return self._replace('engine_unreachable', now_ms)
         self._mark_sent()
-        if self.recovery.failures or not bytes_left:
+        if self.recovery.failures or not may_have_sent:
             return self._count_failure(now_ms)
         self.recovery.failures += 1
         return self._reconnect(now_ms)
 
     def _count_failure(self, now_ms: float) -> list[messages.Action]:
-        silent_ms = now_ms - self.progress.last_ms
-        delay_ms = self.recovery.fail(self.is_committed(), silent_ms)
+        silent_ms = now_ms - self.progress.last_token_ms
+        delay_ms = self.recovery.record_failure(self.is_committed(), silent_ms)
         if delay_ms is None:
-            return self._lose('engine_dead', now_ms)
-        self.progress.blame(timelines.TimePart.LINK, now_ms)
+            return self._generation_lost('engine_dead', now_ms)
+        self.progress.attribute_to(timelines.TimePart.LINK, now_ms)
         self.stage = Stage.RECONNECTING
         self.reconnect_at_ms = now_ms + delay_ms
         return []
 
     def _reconnect(self, now_ms: float) -> list[messages.Action]:
-        self.progress.blame(timelines.TimePart.LINK, now_ms)
-        self.progress.expect(now_ms)
+        self.progress.attribute_to(timelines.TimePart.LINK, now_ms)
+        self.progress.restart_silence_timer(now_ms)
         self.stage = Stage.STREAMING
         self.resuming = True
         self.probe = None
@@ -330,56 +332,64 @@
         if event.probe != self.probe:
             return []
         self.probe = None
-        if now_ms < self.progress.silent_at_ms:
+        if now_ms < self.progress.silence_deadline_ms:
             # Tokens came while the probe was on its way.
             return []
         self._mark_sent()
         match event:
             case messages.StatusMissing():
                 lost = self._drop_stream()
-                return lost + self._lose('generation_missing', now_ms)
+                return lost + self._generation_lost(
+                    'generation_missing', now_ms
+                )
             case messages.StatusLost():
                 return self._drop_stream() + self._count_failure(now_ms)
             case messages.StatusReceived(state=state, produced=produced):
-                return self._judge(state, produced, now_ms)
+                return self._evaluate_status(state, produced, now_ms)
         return []
 
-    def _judge(
+    def _evaluate_status(
         self, state: states.GenerationState, produced: int, now_ms: float
     ) -> list[messages.Action]:
         if state is states.GenerationState.CANCELLED:
-            return self._drop_stream() + self._lose('cancelled', now_ms)
+            return self._drop_stream() + self._generation_lost(
+                'cancelled', now_ms
+            )
         if produced > self.progress.next_index:
             return self._drop_stream() + self._reconnect(now_ms)
         if state is states.GenerationState.DONE:
             return self._drop_stream() + self._ended_early(now_ms)
         if self.connection is None:
             return self._count_failure(now_ms)
-        return self._wait_on(state, now_ms)
+        return self._keep_waiting(state, now_ms)
 
     def _ended_early(self, now_ms: float) -> list[messages.Action]:
-        if self.progress.first_index == 0 or self.progress.received():
-            return self._lose('ended_early', now_ms)
+        if self.progress.first_index == 0 or self.progress.received_count():
+            return self._generation_lost('ended_early', now_ms)
         # The caller had the whole answer when it came back.
         self.progress.charge(now_ms)
         return self._end(
             messages.EndRequest(states.Outcome.DONE, 'already_complete')
         )
 
-    def _wait_on(
+    def _keep_waiting(
         self, state: states.GenerationState, now_ms: float
     ) -> list[messages.Action]:
-        self.recovery.succeed()
-        begun = self.progress.next_index > 0
-        patience = recoveries.patience_with(state, begun)
-        self.progress.blame(patience.part, now_ms)
-        if now_ms - self.progress.last_ms >= patience.limit_ms:
-            return self._drop_stream() + self._lose('stalled', now_ms)
-        self.progress.silence.back_off()
-        self.progress.expect(now_ms)
+        self.recovery.record_success()
+        has_tokens = self.progress.next_index > 0
+        policy = recoveries.silence_policy(state, has_tokens)
+        self.progress.attribute_to(policy.part, now_ms)
+        if now_ms - self.progress.last_token_ms >= policy.limit_ms:
+            return self._drop_stream() + self._generation_lost(
+                'stalled', now_ms
+            )
+        self.progress.silence.increase_limit()
+        self.progress.restart_silence_timer(now_ms)
         return []
 
-    def _lose(self, reason: str, now_ms: float) -> list[messages.Action]:
+    def _generation_lost(
+        self, reason: str, now_ms: float
+    ) -> list[messages.Action]:
         if self.is_committed():
             return self._give_up(reason, now_ms)
         return self._replace(reason, now_ms)
@@ -402,7 +412,7 @@
             self.progress.timeline.charge(
                 timelines.TimePart.ENTRY_QUEUE, now_ms
             )
-            return self._end(self._nothing(reason))
+            return self._end(self._no_answer(reason))
         self.progress.charge(now_ms)
         if self.connection is not None:
             # The bytes may be on their way whatever was heard of them.
@@ -410,11 +420,11 @@
         actions = self._drop_stream() + self._cancel(0)
         if not self.is_committed():
             self.progress.discard()
-            return actions + self._end(self._nothing(reason))
+            return actions + self._end(self._no_answer(reason))
         end = messages.EndRequest(states.Outcome.INCOMPLETE, reason)
         return actions + self._end(end)
 
-    def _nothing(
+    def _no_answer(
         self, reason: str, retry_after_ms: float | None = None
     ) -> messages.EndRequest:
         outcome = states.Outcome.NOT_RUN
@@ -422,7 +432,7 @@
             outcome = states.Outcome.UNKNOWN
         return messages.EndRequest(outcome, reason, retry_after_ms)
 
-    def _leave(
+    def _stop_reading(
         self, reason: str, grace_ms: float | None, now_ms: float
     ) -> list[messages.Action]:
         if self.stage is Stage.QUEUED:
--- a/eelgrassknot/requests/plain_call.py
+++ b/eelgrassknot/requests/plain_call.py
@@ -113,10 +113,10 @@
                 if attempt != self.attempt:
                     return []
                 return self._answered(answer, now_ms)
-            case messages.AttemptFailed(attempt, bytes_left):
+            case messages.AttemptFailed(attempt, may_have_sent):
                 if attempt != self.attempt:
                     return []
-                return self._failed(bytes_left, now_ms)
+                return self._failed(may_have_sent, now_ms)
             case messages.NotRun(attempt):
                 if attempt != self.attempt:
                     return []
@@ -147,8 +147,12 @@
             # Leaves time for another attempt if this connection is dead.
             share_ms = max(MIN_ATTEMPT_MS, ATTEMPT_SHARE * remaining_ms)
             timeout_ms = min(remaining_ms, share_ms)
-        proven = not self.is_repeatable() or self.attempt > 1
-        return [messages.Send(self.attempt, upstream, timeout_ms, proven)]
+        needs_new_connection = not self.is_repeatable() or self.attempt > 1
+        return [
+            messages.Send(
+                self.attempt, upstream, timeout_ms, needs_new_connection
+            )
+        ]
 
     def _answered(
         self, answer: messages.Answer | messages.ForwardedAnswer, now_ms: float
@@ -163,9 +167,9 @@
         ):
             self.last_answer = answer
             return self._retry_or_stop(f'status_{answer.status}', now_ms)
-        return [self._pass_on(answer)]
+        return [self._forward_answer(answer)]
 
-    def _pass_on(
+    def _forward_answer(
         self, answer: messages.Answer | messages.ForwardedAnswer
     ) -> messages.EndCall:
         reason = f'status_{answer.status}'
@@ -173,9 +177,9 @@
         return self._end(end)
 
     def _failed(
-        self, bytes_left: bool, now_ms: float
+        self, may_have_sent: bool, now_ms: float
     ) -> list[messages.Action]:
-        if bytes_left:
+        if may_have_sent:
             self.may_have_run = True
             return self._retry_or_stop('no_answer', now_ms)
         return self._not_run()
@@ -219,7 +223,7 @@
         self, reason: str, retry_after_ms: float | None = None
     ) -> list[messages.Action]:
         if self.last_answer is not None:
-            return [self._pass_on(self.last_answer)]
+            return [self._forward_answer(self.last_answer)]
         outcome = states.Outcome.NOT_RUN
         if self.may_have_run:
             outcome = states.Outcome.UNKNOWN
--- a/eelgrassknot/requests/plain_messages.py
+++ b/eelgrassknot/requests/plain_messages.py
@@ -92,11 +92,11 @@
     """An attempt got no answer.
 
     Attributes:
-        bytes_left: Whether any byte of the request may have left.
+        may_have_sent: Whether any byte of the request may have left.
     """
 
     attempt: int
-    bytes_left: bool
+    may_have_sent: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -126,15 +126,15 @@
     """Send the request to an upstream.
 
     Attributes:
-        proven: Whether only a new connection will do: one that was open
-            before may have gone silent, which would leave the outcome
-            unknown.
+        needs_new_connection: Whether only a new connection will do: one
+            that was open before may have gone silent, which would leave
+            the outcome unknown.
     """
 
     attempt: int
     upstream: kernel_events.UpstreamInfo
     timeout_ms: float
-    proven: bool
+    needs_new_connection: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/eelgrassknot/requests/stream_messages.py
+++ b/eelgrassknot/requests/stream_messages.py
@@ -7,23 +7,23 @@
 
 __all__ = [
     'Action',
-    'BreakOff',
-    'Broken',
+    'AbortAnswer',
+    'AttemptBroken',
     'Cancel',
     'CopyPlaced',
-    'Ended',
+    'AnswerCompleted',
     'Event',
     'Fail',
     'Finish',
     'Forward',
-    'Headed',
-    'Move',
-    'MoveEnded',
+    'HeadReceived',
+    'CopyMemory',
+    'CopyEnded',
     'NotRun',
     'Place',
-    'PlaceMove',
+    'PlaceCopy',
     'Placed',
-    'Received',
+    'EventReceived',
     'Refused',
     'Send',
     'StartAnswer',
@@ -76,7 +76,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Headed:
+class HeadReceived:
     """The head of an attempt's answer has come.
 
     Attributes:
@@ -88,7 +88,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Received:
+class EventReceived:
     """A whole event of an attempt's stream has come.
 
     Attributes:
@@ -101,18 +101,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
+class AnswerCompleted:
     """An attempt's answer is complete."""
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Broken:
+class AttemptBroken:
     """An attempt ended without a complete answer."""
 
     attempt: int
-    bytes_left: bool
+    may_have_sent: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -130,7 +130,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class MoveEnded:
+class CopyEnded:
     """A move of the run's memory has ended.
 
     Attributes:
@@ -151,13 +151,13 @@
     Placed
     | CopyPlaced
     | Refused
-    | Headed
-    | Received
-    | Ended
-    | Broken
+    | HeadReceived
+    | EventReceived
+    | AnswerCompleted
+    | AttemptBroken
     | NotRun
     | UpstreamLeaving
-    | MoveEnded
+    | CopyEnded
     | Tick
 )
 
@@ -174,7 +174,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PlaceMove:
+class PlaceCopy:
     """Have the dispatcher choose where the run's memory can be copied.
 
     Attributes:
@@ -214,7 +214,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Move:
+class CopyMemory:
     """Have the source copy what is new of the run's memory to a target."""
 
     source: UpstreamInfo
@@ -241,7 +241,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BreakOff:
+class AbortAnswer:
     """End the caller's answer visibly incomplete."""
 
     reason: str
@@ -262,13 +262,13 @@
 
 Action = (
     Place
-    | PlaceMove
+    | PlaceCopy
     | Send
     | Cancel
-    | Move
+    | CopyMemory
     | StartAnswer
     | Forward
     | Finish
-    | BreakOff
+    | AbortAnswer
     | Fail
 )
--- a/eelgrassknot/requests/stream_run.py
+++ b/eelgrassknot/requests/stream_run.py
@@ -32,14 +32,14 @@
 
     Attributes:
         copy: Copy of the run's memory.
-        headed: Whether its answer has begun.
+        head_received: Whether its answer has begun.
         first_event_ms: When its first event came.
-        heard_ms: When it was last heard of.
+        last_activity_ms: When it was last heard of.
     """
 
     attempt: int
     upstream: kernel_events.UpstreamInfo
     copy: MemoryCopy | None = None
-    headed: bool = False
+    head_received: bool = False
     first_event_ms: float | None = None
-    heard_ms: float = 0.0
+    last_activity_ms: float = 0.0
--- a/tests/claim_world.py
+++ b/tests/claim_simulation.py
@@ -32,7 +32,7 @@
     machine: claims.Claim
     actions: list
     dispatched: bool = False
-    told: messages.EndClaim | None = None
+    end: messages.EndClaim | None = None
 
 
 @dataclasses.dataclass
@@ -59,7 +59,7 @@
         self.attempts = []
         self.row = None
         self.version = 0
-        self.late = []
+        self.delayed = []
         self.ran = []
 
     @stateful.initialize(
@@ -76,7 +76,7 @@
     @stateful.rule(vm=strategies.sampled_from(VMS), other=_PICK)
     def call(self, vm, other):
         """The caller sends its call, or another one with the same key."""
-        if sum(a.told is None for a in self.attempts) > 3:
+        if sum(a.end is None for a in self.attempts) > 3:
             return
         self.nonces += 1
         ledger = self.ledgers[vm]
@@ -99,11 +99,11 @@
             if self.ledgers[attempt.vm].incarnation == attempt.incarnation
         ]
 
-    def tell(self, attempt, event):
+    def handle(self, attempt, event):
         """Tell a claim and keep what it wants."""
         attempt.actions += attempt.machine.handle(event, self.now_ms)
 
-    def land(self, write):
+    def apply(self, write):
         """Let a write reach the store; return what the store says."""
         present = self.version if self.row is not None else None
         if write.version != present:
@@ -133,8 +133,8 @@
 
     def act_once(self, pick, fault):
         """Do one action of one claim."""
-        wanting = [a for a in self.alive() if a.actions]
-        attempt = wanting[pick % len(wanting)]
+        ready = [a for a in self.alive() if a.actions]
+        attempt = ready[pick % len(ready)]
         action = attempt.actions.pop(0)
         match action:
             case messages.WriteClaim(version):
@@ -144,16 +144,16 @@
                 row = self.new_row(attempt, state, answer)
                 self.write(_Write(attempt, version, row), fault)
             case messages.ReadRow() if fault in ('none', 'late'):
-                self.tell(attempt, messages.RowRead(self.row, self.version))
+                self.handle(attempt, messages.RowRead(self.row, self.version))
             case messages.ReadRow():
-                self.tell(attempt, messages.ReadFailed())
+                self.handle(attempt, messages.ReadFailed())
             case messages.AskOwner(row):
-                self.tell(attempt, self.ask_owner(row, fault))
+                self.handle(attempt, self.query_owner(row, fault))
             case messages.StartCall():
                 self.run_call(attempt, pick)
             case messages.EndClaim():
-                assert attempt.told is None, 'two outcomes'
-                attempt.told = action
+                assert attempt.end is None, 'two outcomes'
+                attempt.end = action
 
     def new_row(self, attempt, state, answer=None):
         """Return a row as a VM writes it."""
@@ -170,17 +170,17 @@
     def write(self, write, fault):
         """Send a write to the store."""
         if fault == 'none':
-            self.tell(write.attempt, self.land(write))
+            self.handle(write.attempt, self.apply(write))
         elif fault == 'down':
-            self.tell(write.attempt, messages.WriteUnavailable())
+            self.handle(write.attempt, messages.WriteUnavailable())
         else:
             if fault == 'late':
-                self.late.append(write)
+                self.delayed.append(write)
             else:
-                self.land(write)
-            self.tell(write.attempt, messages.WriteUnknown())
+                self.apply(write)
+            self.handle(write.attempt, messages.WriteUnknown())
 
-    def ask_owner(self, row, fault):
+    def query_owner(self, row, fault):
         """Ask the VM that a row names."""
         if fault in ('lost', 'down'):
             return messages.OwnerAnswered(peers.OwnerAnswer.UNREACHABLE)
@@ -202,20 +202,20 @@
             self.ran.append(nonce)
             answer = plain_messages.Answer(200, 'text/plain', nonce.encode())
             end = plain_messages.EndCall(states.Outcome.DONE, 'ok', answer)
-        self.tell(attempt, messages.CallEnded(end))
+        self.handle(attempt, messages.CallEnded(end))
 
-    @stateful.precondition(lambda self: self.late)
+    @stateful.precondition(lambda self: self.delayed)
     @stateful.rule(pick=_PICK)
     def late_write_lands(self, pick):
         """A write whose answer was given up lands."""
-        self.land(self.late.pop(pick % len(self.late)))
+        self.apply(self.delayed.pop(pick % len(self.delayed)))
 
     @stateful.rule(by_ms=strategies.sampled_from([200.0, 1_500.0, 6_000.0]))
     def pass_time(self, by_ms):
         """Time passes; paused VMs hear of it like all others."""
         self.now_ms += by_ms
         for attempt in self.alive():
-            self.tell(attempt, messages.Tick())
+            self.handle(attempt, messages.Tick())
 
     @stateful.rule(vm=strategies.sampled_from(VMS), rare=_PICK)
     def crash(self, vm, rare):
@@ -234,13 +234,13 @@
     def outcomes_are_true(self):
         """What each attempt was told is so, and stays so."""
         for attempt in self.attempts:
-            if attempt.told is None:
+            if attempt.end is None:
                 continue
             nonce = attempt.machine.nonce
-            match attempt.told.outcome:
+            match attempt.end.outcome:
                 case states.Outcome.NOT_RUN:
                     assert nonce not in self.ran, 'not_run of a call that ran'
                 case states.Outcome.DONE:
-                    told = attempt.told
-                    answer = told.row.answer if told.row else told.answer
+                    end = attempt.end
+                    answer = end.row.answer if end.row else end.answer
                     assert answer.body.decode() in self.ran, answer
--- a/tests/generation_world.py
+++ b/tests/generation_simulation.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass
-class _Running:
+class _EngineGeneration:
     """A generation at an engine."""
 
     name: str
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass
-class _Link:
+class _Connection:
     """A connection, as the engine's side sees it."""
 
     number: int
@@ -74,11 +74,11 @@
         super().__init__()
         self.now_ms = 0.0
         self.running = {}
-        self.links = {}
+        self.connections = {}
         self.probes = []
         self.cancels = []
         self.placements = 0
-        self.names = 0
+        self.generation_count = 0
         self.delivered = []
         self.ended = None
         self.ran = False
@@ -103,12 +103,12 @@
         self.produce(kind=0, count=3)
         self.receive(kind=1, count=lead)
 
-    def tell(self, event):
+    def handle(self, event):
         """Tell the machine and do what it wants."""
         for action in self.machine.handle(event, self.now_ms):
-            self.carry_out(action)
+            self.perform(action)
 
-    def carry_out(self, action):
+    def perform(self, action):
         """Do one action in this world."""
         assert self.ended is None, f'{action} after the end'
         match action:
@@ -118,11 +118,11 @@
                 assert not self.streamed, 'delivered tokens were taken back'
                 self.delivered.clear()
             case messages.OpenStream(number, _, generation):
-                assert number not in self.links
-                self.links[number] = _Link(number, generation, 0)
+                assert number not in self.connections
+                self.connections[number] = _Connection(number, generation, 0)
             case messages.ResumeStream(number, _, generation, index):
-                assert number not in self.links
-                self.links[number] = _Link(
+                assert number not in self.connections
+                self.connections[number] = _Connection(
                     number, generation, index, creates=False
                 )
             case messages.AskStatus(probe, _, generation):
@@ -134,14 +134,14 @@
             case messages.EndRequest():
                 self.ended = action
 
-    def link(self, kind):
+    def connection(self, kind):
         """Return one of the connections, old ones included."""
-        numbers = sorted(self.links)
+        numbers = sorted(self.connections)
         if not numbers:
             return None
         # The newest is of most interest.
         back = 0 if kind % 4 else kind // 4 % len(numbers)
-        return self.links[numbers[-1 - back]]
+        return self.connections[numbers[-1 - back]]
 
     @stateful.precondition(lambda self: self.placements)
     @stateful.rule(refused=strategies.integers(0, 9))
@@ -150,50 +150,56 @@
         self.placements -= 1
         if not refused:
             reason = states.RefusalReason.NO_UPSTREAM
-            self.tell(messages.Refused(reason, 1_000.0))
+            self.handle(messages.Refused(reason, 1_000.0))
             return
-        self.names += 1
-        name = f'g{self.names}'
-        engine = upstream(f'e{self.names}')
-        self.tell(messages.Placed(engine, ids.GenerationId(name), False))
+        self.generation_count += 1
+        name = f'g{self.generation_count}'
+        engine = upstream(f'e{self.generation_count}')
+        self.handle(messages.Placed(engine, ids.GenerationId(name), False))
 
-    @stateful.precondition(lambda self: self.links)
+    @stateful.precondition(lambda self: self.connections)
     @stateful.rule(kind=_KINDS, length=strategies.integers(1, 5))
     def engine_hears(self, kind, length):
         """A request reaches its engine."""
-        link = self.link(kind)
-        if link.started:
+        connection = self.connection(kind)
+        if connection.started:
             return
-        link.started = True
-        if link.creates and link.generation not in self.running:
+        connection.started = True
+        if connection.creates and connection.generation not in self.running:
             self.ran = True
-            self.running[link.generation] = _Running(link.generation, length)
-        if link.generation not in self.running:
-            self.tell(messages.StreamRejected(link.number, 404, b''))
+            self.running[connection.generation] = _EngineGeneration(
+                connection.generation, length
+            )
+        if connection.generation not in self.running:
+            self.handle(messages.StreamRejected(connection.number, 404, b''))
             return
-        self.tell(messages.StreamAccepted(link.number))
+        self.handle(messages.StreamAccepted(connection.number))
 
-    @stateful.precondition(lambda self: self.links)
+    @stateful.precondition(lambda self: self.connections)
     @stateful.rule(kind=_KINDS, status=strategies.sampled_from([503, 500]))
     def engine_refuses(self, kind, status):
         """An engine answers that it did not take the request."""
-        link = self.link(kind)
-        if link.started:
+        connection = self.connection(kind)
+        if connection.started:
             return
-        link.started = True
-        link.closed = True
+        connection.started = True
+        connection.closed = True
         self.ran = self.ran or status == 500
-        self.tell(messages.StreamRejected(link.number, status, b''))
+        self.handle(messages.StreamRejected(connection.number, status, b''))
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(kind=_KINDS, count=strategies.integers(1, 3))
     def produce(self, kind, count):
         """An engine produces tokens."""
-        one = self.running[sorted(self.running)[kind % len(self.running)]]
-        if one.state is states.GenerationState.RUNNING:
-            one.produced = min(one.produced + count, one.length)
-            if one.produced == one.length:
-                one.state = states.GenerationState.DONE
+        generation = self.running[
+            sorted(self.running)[kind % len(self.running)]
+        ]
+        if generation.state is states.GenerationState.RUNNING:
+            generation.produced = min(
+                generation.produced + count, generation.length
+            )
+            if generation.produced == generation.length:
+                generation.state = states.GenerationState.DONE
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(
@@ -202,9 +208,11 @@
     )
     def change_state(self, kind, state):
         """An engine preempts, goes on, or gives up."""
-        one = self.running[sorted(self.running)[kind % len(self.running)]]
-        if one.state is not states.GenerationState.DONE:
-            one.state = states.GenerationState(state)
+        generation = self.running[
+            sorted(self.running)[kind % len(self.running)]
+        ]
+        if generation.state is not states.GenerationState.DONE:
+            generation.state = states.GenerationState(state)
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(kind=_KINDS, count=strategies.integers(1, 3))
@@ -226,64 +234,71 @@
 
     def receive_one(self, kind, fault):
         """Pass on one token of a connection."""
-        link = self.link(kind)
-        one = self.running.get(link.generation)
-        if one is None or not link.started:
+        connection = self.connection(kind)
+        generation = self.running.get(connection.generation)
+        if generation is None or not connection.started:
             return
-        index = link.index
+        index = connection.index
         if fault == 'repeat' and index:
             index -= 1
         elif fault == 'skip':
             index += 1
-        if index >= one.produced:
+        if index >= generation.produced:
             return
-        token = one.token(index)
+        token = generation.token(index)
         if fault == 'crossed':
-            token = _Running('other', 9).token(index)
+            token = _EngineGeneration('other', 9).token(index)
         elif fault == 'stranger':
             token = upstream_messages.Token(
-                one.name, 'r2', index, f'r2:{index}'
+                generation.name, 'r2', index, f'r2:{index}'
             )
         elif fault == 'none':
-            link.index += 1
-        self.tell(messages.TokenReceived(link.number, token))
+            connection.index += 1
+        self.handle(messages.TokenReceived(connection.number, token))
 
-    @stateful.precondition(lambda self: self.links)
+    @stateful.precondition(lambda self: self.connections)
     @stateful.rule(kind=_KINDS, finished=strategies.booleans())
     def close(self, kind, finished):
         """A connection ends."""
-        link = self.link(kind)
-        if link.closed:
+        connection = self.connection(kind)
+        if connection.closed:
             return
-        link.closed = True
-        if finished and link.started:
-            self.tell(messages.StreamFinished(link.number))
+        connection.closed = True
+        if finished and connection.started:
+            self.handle(messages.StreamFinished(connection.number))
             return
         # What left may reach the engine later on.
-        sent = link.started or bool(kind % 2)
-        link.started = link.started or not sent
-        self.tell(messages.StreamClosed(link.number, sent))
+        sent = connection.started or bool(kind % 2)
+        connection.started = connection.started or not sent
+        self.handle(messages.StreamClosed(connection.number, sent))
 
     @stateful.precondition(lambda self: self.probes)
     @stateful.rule(lost=strategies.booleans())
     def answer_probe(self, lost):
         """An engine answers a probe, or the answer is lost."""
-        probe, generation = self.probes.pop(0)
-        one = self.running.get(generation)
+        probe, name = self.probes.pop(0)
+        generation = self.running.get(name)
         if lost:
-            self.tell(messages.StatusLost(probe))
-        elif one is None:
-            self.tell(messages.StatusMissing(probe))
+            self.handle(messages.StatusLost(probe))
+        elif generation is None:
+            self.handle(messages.StatusMissing(probe))
         else:
-            self.tell(messages.StatusReceived(probe, one.state, one.produced))
+            self.handle(
+                messages.StatusReceived(
+                    probe, generation.state, generation.produced
+                )
+            )
 
     @stateful.precondition(lambda self: self.cancels)
     @stateful.rule()
     def cancel(self):
         """A cancellation reaches its engine."""
-        one = self.running.get(self.cancels.pop(0))
-        if one is not None and one.state is not states.GenerationState.DONE:
-            one.state = states.GenerationState.CANCELLED
+        generation = self.running.get(self.cancels.pop(0))
+        if (
+            generation is not None
+            and generation.state is not states.GenerationState.DONE
+        ):
+            generation.state = states.GenerationState.CANCELLED
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(kind=_KINDS)
@@ -295,13 +310,13 @@
     def pass_time(self, by_ms):
         """Time passes."""
         self.now_ms += by_ms
-        self.tell(messages.Tick())
+        self.handle(messages.Tick())
 
     @stateful.rule(rare=strategies.integers(0, 30))
     def caller_leaves(self, rare):
         """The caller leaves, seldom."""
         if not rare:
-            self.tell(messages.CallerGone())
+            self.handle(messages.CallerGone())
 
     @stateful.invariant()
     def one_generation_in_order(self):
--- a/tests/reporting_facts.py
+++ b/tests/reporting_facts.py
@@ -44,7 +44,7 @@
     }
     total_ms = sum(values[part] for part in PARTS)
     values.setdefault('total_ms', total_ms)
-    return events.GenerationFacts(**values)
+    return events.GenerationRecord(**values)
 
 
 def plain_call(account='coral-resort', **changes):
@@ -66,7 +66,7 @@
         'crossed_regions': False,
         **changes,
     }
-    return events.PlainCallFacts(**values)
+    return events.PlainCallRecord(**values)
 
 
 def random_generation(generator: random.Random, account='coral-resort'):
--- a/tests/steps/frontend_lane.py
+++ b/tests/steps/frontend_stream_multiplexer.py
@@ -7,13 +7,13 @@
 import behave
 
 from eelgrassknot import clock as clocks
-from eelgrassknot.frontend import lane as lanes
+from eelgrassknot.frontend import stream_multiplexer
 from eelgrassknot import ids
 from eelgrassknot.requests import generation as generations
 from eelgrassknot.requests import generation_messages as messages
 from eelgrassknot import states
 from eelgrassknot.upstreams import messages as upstream_messages
-from tests import generation_world
+from tests import generation_simulation
 
 _WAIT_S = 20.0
 _LONG_TEXT = 'x' * 4_000_000
@@ -58,7 +58,7 @@
         default_factory=threading.Event
     )
 
-    def report(self, count, now_ms):
+    def report_tokens(self, count, now_ms):
         """Take note of nothing."""
 
 
@@ -73,33 +73,35 @@
     return token.text.encode()
 
 
-def _ride(context):
+def _start_stream(context):
     machine = generations.Generation(ids.RequestId('r1'), True, None, 0.0)
     placed = messages.Placed(
-        generation_world.upstream('e1'), ids.GenerationId('g1'), False
+        generation_simulation.upstream('e1'), ids.GenerationId('g1'), False
     )
     machine.handle(placed, 0.0)
     machine.handle(messages.StreamAccepted(1), 0.0)
     relay = _Relay(machine, _Stream())
-    ride = lanes.Ride(relay, _encode, _Caller(), relay.stream.socket.fileno())
+    stream = stream_multiplexer.MultiplexedStream(
+        relay, _encode, _Caller(), relay.stream.socket.fileno()
+    )
     thread = threading.Thread(
-        target=context.lane.carry, args=(ride,), daemon=True
+        target=context.multiplexer.run, args=(stream,), daemon=True
     )
     thread.start()
-    return ride
+    return stream
 
 
 @behave.given('a lane with {count:d} streams')
 def given_lane(context, count):
     context.time = clocks.ManualClock()
-    context.lane = lanes.Lane(context.time)
-    context.lane.start()
-    context.add_cleanup(context.lane.stop)
-    context.rides = [_ride(context) for _ in range(count)]
+    context.multiplexer = stream_multiplexer.StreamMultiplexer(context.time)
+    context.multiplexer.start()
+    context.add_cleanup(context.multiplexer.stop)
+    context.streams = [_start_stream(context) for _ in range(count)]
 
 
 def _send(context, number, events):
-    context.rides[number].relay.stream.send(events)
+    context.streams[number].relay.stream.send(events)
 
 
 @behave.when(
@@ -126,28 +128,28 @@
 
 @behave.when('the caller of stream {number:d} is gone and a token comes')
 def caller_gone(context, number):
-    context.rides[number].caller.other.close()
+    context.streams[number].caller.other.close()
     _send(context, number, [_token(0)])
 
 
 @behave.when('nothing comes for longer than the silence limit')
 def nothing_comes(context):
-    machine = context.rides[0].relay.machine
+    machine = context.streams[0].relay.machine
     context.time.advance_ms(machine.wake_ms() + 1)
 
 
 @behave.then('the caller of stream {number:d} gets the tokens 0 to {last:d}')
 def caller_gets(context, number, last):
     wanted = b''.join(b'%d ' % index for index in range(last + 1))
-    caller = context.rides[number].caller
+    caller = context.streams[number].caller
     got = caller.other.recv(65_536)
     assert got == wanted, got
 
 
 def _back(context, number):
-    ride = context.rides[number]
-    assert ride.ended.wait(_WAIT_S), 'the stream is still carried'
-    return ride
+    stream = context.streams[number]
+    assert stream.released.wait(_WAIT_S), 'the stream is still carried'
+    return stream
 
 
 @behave.then('stream {number:d} is handed back with {count:d} event')
@@ -157,7 +159,7 @@
 
 @behave.then('stream {number:d} is still carried')
 def still_carried(context, number):
-    assert not context.rides[number].ended.is_set()
+    assert not context.streams[number].released.is_set()
 
 
 @behave.then('stream {number:d} is handed back to be resumed from {index:d}')
@@ -169,9 +171,9 @@
 
 @behave.then('stream {number:d} is handed back with bytes that were not sent')
 def back_unsent(context, number):
-    ride = _back(context, number)
-    assert 0 < len(ride.unsent) < len(_LONG_TEXT)
-    assert not ride.broken
+    stream = _back(context, number)
+    assert 0 < len(stream.unsent) < len(_LONG_TEXT)
+    assert not stream.broken
 
 
 @behave.then('stream {number:d} is handed back as broken')
@@ -181,5 +183,7 @@
 
 @behave.then('stream {number:d} is handed back with nothing')
 def back_with_nothing(context, number):
-    ride = _back(context, number)
-    assert not (ride.events or ride.actions or ride.unsent or ride.broken)
+    stream = _back(context, number)
+    assert not (
+        stream.events or stream.actions or stream.unsent or stream.broken
+    )
--- a/tests/steps/requests_claim.py
+++ b/tests/steps/requests_claim.py
@@ -12,21 +12,21 @@
 from eelgrassknot.requests import plain_messages
 from eelgrassknot import states
 from eelgrassknot.storage import base
-from tests import claim_world
+from tests import claim_simulation
 from tests import histories
 
 
 class _TakesOver(claims.Claim):
     def _owner_answered(self, answer, now_ms):
         if answer is peers.OwnerAnswer.UNREACHABLE:
-            return self._replace(self.found.version, now_ms)
+            return self._replace(self.found_row.version, now_ms)
         return super()._owner_answered(answer, now_ms)
 
 
 class _TrustsAbsence(claims.Claim):
     def _row_read(self, row, event, now_ms):
-        if row is None and self.uncertain:
-            return self._hold(1, now_ms)
+        if row is None and self.write_may_land:
+            return self._claim_acquired(1, now_ms)
         return super()._row_read(row, event, now_ms)
 
 
@@ -40,7 +40,7 @@
 class _ReplacesGone(claims.Claim):
     def _owner_answered(self, answer, now_ms):
         if answer is peers.OwnerAnswer.GONE:
-            return self._replace(self.found.version, now_ms)
+            return self._replace(self.found_row.version, now_ms)
         return super()._owner_answered(answer, now_ms)
 
 
@@ -54,7 +54,7 @@
 
 def _run_histories(kind, examples):
     histories.run_histories(
-        claim_world.ClaimHistories, kind, examples, step_count=50
+        claim_simulation.ClaimHistories, kind, examples, step_count=50
     )
 
 
--- a/tests/steps/requests_forwarded_stream.py
+++ b/tests/steps/requests_forwarded_stream.py
@@ -4,14 +4,16 @@
 
 from eelgrassknot.requests import stream_messages as messages
 from eelgrassknot import states
-from tests import stream_world
+from tests import stream_simulation
 
 
 def _start(context, resumable, holder):
-    context.world = stream_world.StreamWorld(resumable)
-    context.world.tell(messages.Placed(stream_world.upstream('e1')))
-    copy = stream_world.upstream(holder) if holder else None
-    context.world.tell(messages.CopyPlaced(1, copy))
+    context.simulation = stream_simulation.StreamSimulation(resumable)
+    context.simulation.handle(
+        messages.Placed(stream_simulation.upstream('e1'))
+    )
+    copy = stream_simulation.upstream(holder) if holder else None
+    context.simulation.handle(messages.CopyPlaced(1, copy))
     context.attempt = 1
 
 
@@ -32,61 +34,67 @@
 
 @behave.given('events {first:d} to {last:d} have come')
 def events_came(context, first, last):
-    context.world.tell(messages.Headed(1, True))
+    context.simulation.handle(messages.HeadReceived(1, True))
     for index in range(first, last + 1):
-        context.world.tell(messages.Received(1, index, b'%d' % index))
+        context.simulation.handle(
+            messages.EventReceived(1, index, b'%d' % index)
+        )
 
 
 @behave.when('the engine breaks off')
 def breaks_off(context):
-    attempt = context.world.last(messages.Send).attempt
-    context.world.tell(messages.Broken(attempt, True))
+    attempt = context.simulation.last(messages.Send).attempt
+    context.simulation.handle(messages.AttemptBroken(attempt, True))
 
 
 @behave.when('the engine says that it did not run it')
 def says_not_run(context):
-    context.world.tell(messages.NotRun(1))
+    context.simulation.handle(messages.NotRun(1))
 
 
 @behave.when('it is placed on {name}')
 def is_placed(context, name):
-    context.world.tell(messages.Placed(stream_world.upstream(name)))
+    context.simulation.handle(
+        messages.Placed(stream_simulation.upstream(name))
+    )
 
 
 @behave.when('the new attempt is answered')
 def is_answered(context):
-    attempt = context.world.last(messages.Send).attempt
-    context.world.tell(messages.Headed(attempt, True))
+    attempt = context.simulation.last(messages.Send).attempt
+    context.simulation.handle(messages.HeadReceived(attempt, True))
 
 
 @behave.when('the new attempt is refused')
 def is_refused(context):
-    attempt = context.world.last(messages.Send).attempt
-    context.world.tell(messages.NotRun(attempt))
+    attempt = context.simulation.last(messages.Send).attempt
+    context.simulation.handle(messages.NotRun(attempt))
 
 
 @behave.when('event {index:d} comes')
 def event_comes(context, index):
-    attempt = context.world.last(messages.Send).attempt
-    context.world.tell(messages.Received(attempt, index, b'%d' % index))
+    attempt = context.simulation.last(messages.Send).attempt
+    context.simulation.handle(
+        messages.EventReceived(attempt, index, b'%d' % index)
+    )
 
 
 @behave.when('e1 is about to leave and {span_ms:d} ms have passed')
 def is_leaving(context, span_ms):
-    told = context.world.tell(messages.UpstreamLeaving('e1'))
-    told = told + context.world.wait(span_ms)
-    context.world.latest = told
+    told = context.simulation.handle(messages.UpstreamLeaving('e1'))
+    told = told + context.simulation.wait(span_ms)
+    context.simulation.latest = told
 
 
 @behave.when('{span_ms:d} ms have passed')
 def time_passes(context, span_ms):
-    context.world.wait(span_ms)
+    context.simulation.wait(span_ms)
 
 
 @behave.when('a copy named {handle} was made on {name}')
 def copy_made(context, handle, name):
-    target = stream_world.upstream(name)
-    context.world.tell(messages.MoveEnded(target, handle))
+    target = stream_simulation.upstream(name)
+    context.simulation.handle(messages.CopyEnded(target, handle))
 
 
 @behave.then(
@@ -110,8 +118,10 @@
 
 
 def _check_send(context, name, index, continue_from):
-    sends = [a for a in context.world.latest if isinstance(a, messages.Send)]
-    assert len(sends) == 1, context.world.latest
+    sends = [
+        a for a in context.simulation.latest if isinstance(a, messages.Send)
+    ]
+    assert len(sends) == 1, context.simulation.latest
     assert sends[0].upstream.upstream == name, sends
     assert sends[0].last_event == index, sends
     assert sends[0].continue_from == continue_from, sends
@@ -119,59 +129,59 @@
 
 @behave.then('event {index:d} is forwarded')
 def is_forwarded(context, index):
-    assert context.world.latest == [messages.Forward(b'%d' % index)]
+    assert context.simulation.latest == [messages.Forward(b'%d' % index)]
 
 
 @behave.then('nothing is forwarded')
 def nothing_forwarded(context):
-    assert context.world.latest == [], context.world.latest
+    assert context.simulation.latest == [], context.simulation.latest
 
 
 @behave.then('the stream is broken off')
 def is_broken_off(context):
-    assert isinstance(context.world.latest[-1], messages.BreakOff)
+    assert isinstance(context.simulation.latest[-1], messages.AbortAnswer)
 
 
 @behave.then('the caller is told that the outcome is unknown')
 def is_unknown(context):
-    end = context.world.latest[-1]
+    end = context.simulation.latest[-1]
     assert isinstance(end, messages.Fail), end
     assert end.outcome is states.Outcome.UNKNOWN, end
 
 
 @behave.then('another engine than {name} is wanted')
 def another_wanted(context, name):
-    assert context.world.latest == [messages.Place(frozenset([name]))]
+    assert context.simulation.latest == [messages.Place(frozenset([name]))]
 
 
 @behave.then('a place for a copy is wanted')
 def copy_wanted(context):
-    assert isinstance(context.world.latest[-1], messages.PlaceMove)
+    assert isinstance(context.simulation.latest[-1], messages.PlaceCopy)
 
 
 @behave.then('the first attempt still runs')
 def first_runs(context):
-    assert messages.Cancel(1) not in context.world.actions
+    assert messages.Cancel(1) not in context.simulation.actions
 
 
 @behave.then('the first attempt is cancelled')
 def first_cancelled(context):
-    assert messages.Cancel(1) in context.world.latest
+    assert messages.Cancel(1) in context.simulation.latest
 
 
 @behave.then('{count:d} random histories of streams keep these promises')
 def histories_hold(context, count):
     for seed in range(count):
         try:
-            stream_world.play_history(seed)
+            stream_simulation.play_history(seed)
         except AssertionError as error:
             raise AssertionError(f'seed {seed}: {error}') from error
 
 
 @behave.when('the engine is not reached')
 def is_not_reached(context):
-    attempt = context.world.last(messages.Send).attempt
-    context.world.tell(messages.Broken(attempt, False))
+    attempt = context.simulation.last(messages.Send).attempt
+    context.simulation.handle(messages.AttemptBroken(attempt, False))
 
 
 @behave.then('the stream is sent to {name} to run anew from its start')
--- a/tests/steps/requests_generation.py
+++ b/tests/steps/requests_generation.py
@@ -8,7 +8,7 @@
 from eelgrassknot.requests import timeline
 from eelgrassknot import states
 from eelgrassknot.upstreams import messages as upstream_messages
-from tests import generation_world
+from tests import generation_simulation
 from tests import histories
 
 _REQUEST = ids.RequestId('r1')
@@ -26,13 +26,13 @@
 
 
 class _SkipsIndexes(generations.Generation):
-    def take_token(self, connection, token, now_ms):
+    def receive_token(self, connection, token, now_ms):
         self.progress.next_index = token.index
-        return super().take_token(connection, token, now_ms)
+        return super().receive_token(connection, token, now_ms)
 
 
 class _ClaimsNotRun(generations.Generation):
-    def _nothing(self, reason, retry_after_ms=None):
+    def _no_answer(self, reason, retry_after_ms=None):
         return messages.EndRequest(states.Outcome.NOT_RUN, reason)
 
 
@@ -46,7 +46,10 @@
 
 def _run_histories(kind, examples):
     histories.run_histories(
-        generation_world.GenerationHistories, kind, examples, step_count=60
+        generation_simulation.GenerationHistories,
+        kind,
+        examples,
+        step_count=60,
     )
 
 
@@ -82,7 +85,7 @@
     _tell(
         context,
         messages.Placed(
-            generation_world.upstream('e1'), ids.GenerationId('g1'), False
+            generation_simulation.upstream('e1'), ids.GenerationId('g1'), False
         ),
     )
     if count:
@@ -125,7 +128,10 @@
     context.seen = []
     context.machine = generations.Generation(_REQUEST, True, None, 0.0)
     context.machine.resume(
-        generation_world.upstream('e1'), ids.GenerationId('g1'), count, 0.0
+        generation_simulation.upstream('e1'),
+        ids.GenerationId('g1'),
+        count,
+        0.0,
     )
 
 
@@ -204,7 +210,7 @@
 
 @behave.then('the wait is charged to the link')
 def charged_to_link(context):
-    assert context.machine.progress.cause is timeline.TimePart.LINK
+    assert context.machine.progress.wait_part is timeline.TimePart.LINK
 
 
 @behave.then('it keeps its connection')
--- a/tests/steps/requests_plain_call.py
+++ b/tests/steps/requests_plain_call.py
@@ -9,7 +9,7 @@
 from eelgrassknot.requests import plain_call
 from eelgrassknot.requests import plain_messages as messages
 from eelgrassknot import states
-from tests import generation_world
+from tests import generation_simulation
 
 _REQUEST = ids.RequestId('r1')
 
@@ -18,7 +18,7 @@
     call = plain_call.PlainCall(
         _REQUEST, messages.CallClass(name), 5_000.0, random.Random(1)
     )
-    upstream = generation_world.upstream('p1')
+    upstream = generation_simulation.upstream('p1')
     (sent,) = call.handle(messages.Placed(upstream, False), 0.0)
     return call, sent
 
@@ -86,7 +86,7 @@
 @behave.then('a plain call of class {name} needs a new connection')
 def needs_new(context, name):
     _, sent = _start(name)
-    assert sent.proven
+    assert sent.needs_new_connection
 
 
 @behave.then(
--- a/tests/steps/requests_streams.py
+++ b/tests/steps/requests_streams.py
@@ -8,7 +8,7 @@
 from eelgrassknot.requests import cursor
 from eelgrassknot.requests import readers
 from eelgrassknot.settings import vm as vm_settings
-from tests import generation_world
+from tests import generation_simulation
 
 _ACCOUNT = ids.ClientAccountId('coral-resort')
 _GENERATION = ids.GenerationId('g1')
@@ -77,26 +77,26 @@
 def given_cancellation(context, grace_ms):
     context.cancellations = cancellation.Cancellations()
     context.cancellations.schedule(
-        generation_world.upstream('e1'), _GENERATION, grace_ms, 0.0
+        generation_simulation.upstream('e1'), _GENERATION, grace_ms, 0.0
     )
 
 
 @behave.when('its reader returns after {after_ms:d} ms')
 def reader_returns(context, after_ms):
-    assert not context.cancellations.take_due(after_ms)
+    assert not context.cancellations.pop_due(after_ms)
     assert context.cancellations.withdraw(_GENERATION)
 
 
 @behave.when('its engine leaves the list of upstreams')
 def engine_leaves(context):
-    gone = context.cancellations.keep_upstreams({'e2': None})
+    gone = context.cancellations.remove_missing_upstreams({'e2': None})
     assert gone == [_GENERATION]
 
 
 @behave.then('the engine is first asked after {grace_ms:d} ms')
 def first_asked(context, grace_ms):
-    assert not context.cancellations.take_due(grace_ms - 1)
-    (due,) = context.cancellations.take_due(grace_ms)
+    assert not context.cancellations.pop_due(grace_ms - 1)
+    (due,) = context.cancellations.pop_due(grace_ms)
     assert due.generation == _GENERATION
     assert not context.cancellations.withdraw(_GENERATION)
 
@@ -106,21 +106,21 @@
     times = [
         now_ms
         for now_ms in range(5_000, 65_000, 50)
-        if context.cancellations.take_due(now_ms)
+        if context.cancellations.pop_due(now_ms)
     ]
     assert 5 < len(times) < 20, times
     context.cancellations.confirm(_GENERATION)
-    assert not context.cancellations.take_due(1e9)
+    assert not context.cancellations.pop_due(1e9)
 
 
 @behave.then('the engine is never asked to cancel it')
 def never_asked(context):
-    assert not context.cancellations.take_due(1e9)
+    assert not context.cancellations.pop_due(1e9)
 
 
 @behave.given('readers at VMs a, b and c')
 def given_readers(context):
-    context.readers = {name: readers.Readers() for name in 'abc'}
+    context.readers = {name: readers.ReaderRegistry() for name in 'abc'}
 
 
 @behave.when("the generation is read at a, then by a's cursor at b and at c")
@@ -129,7 +129,9 @@
         context.readers[vm].register(_GENERATION)
         told = 'a' if vm != 'a' else None
         while told is not None:
-            taken = context.readers[told].take(_GENERATION, ids.VmId(vm))
+            taken = context.readers[told].record_takeover(
+                _GENERATION, ids.VmId(vm)
+            )
             told = taken.forward_to
 
 
--- a/tests/stream_world.py
+++ b/tests/stream_simulation.py
@@ -8,7 +8,7 @@
 from eelgrassknot.requests import stream_messages as messages
 from eelgrassknot import states
 
-__all__ = ['History', 'StreamWorld', 'play_history', 'upstream']
+__all__ = ['History', 'StreamSimulation', 'play_history', 'upstream']
 
 DEADLINE_MS = 40_000.0
 STEPS = 60
@@ -27,8 +27,8 @@
     )
 
 
-class StreamWorld:
-    """One stream and what it has wanted so far.
+class StreamSimulation:
+    """One stream and what it has actions so far.
 
     Attributes:
         actions: All actions, in order.
@@ -52,7 +52,7 @@
         self.actions: list[messages.Action] = []
         self.latest: list[messages.Action] = []
 
-    def tell(self, event: messages.Event) -> list[messages.Action]:
+    def handle(self, event: messages.Event) -> list[messages.Action]:
         """Tell the stream of an event."""
         self.latest = self.stream.handle(event, self.now_ms)
         self.actions += self.latest
@@ -61,15 +61,15 @@
     def wait(self, span_ms: float) -> list[messages.Action]:
         """Let time pass; ticks come when they are due."""
         end_ms = self.now_ms + span_ms
-        wanted = []
+        actions = []
         while self.stream.wake_ms() <= end_ms:
             self.now_ms = max(self.now_ms, self.stream.wake_ms())
-            wanted += self.tell(messages.Tick())
-            if wanted or self.is_over:
-                return wanted
+            actions += self.handle(messages.Tick())
+            if actions or self.is_over:
+                return actions
         self.now_ms = max(self.now_ms, end_ms)
-        self.latest = wanted
-        return wanted
+        self.latest = actions
+        return actions
 
     @property
     def is_over(self) -> bool:
@@ -87,18 +87,18 @@
     Attributes:
         sent: What each attempt was sent with.
         live: Attempts that may still be heard of.
-        begun: Attempts without a memory to go on from that may have run.
+        started: Attempts without a memory to go on from that may have run.
     """
 
     def __init__(self, seed: int) -> None:
         self.generator = random.Random(seed)
-        self.world = StreamWorld(self.generator.random() < 0.4, seed)
+        self.simulation = StreamSimulation(self.generator.random() < 0.4, seed)
         self.sent: dict[int, messages.Send] = {}
         self.produced: dict[int, int] = {}
         self.live: set[int] = set()
-        self.headed: set[int] = set()
-        self.begun: set[int] = set()
-        self.asked: messages.Action | None = None
+        self.head_received: set[int] = set()
+        self.started: set[int] = set()
+        self.requested: messages.Action | None = None
 
     def play(self) -> None:
         """Play it to its end.
@@ -106,91 +106,93 @@
         Raises:
             AssertionError: If a promise is broken.
         """
-        self.tell(messages.Placed(upstream('e0')))
+        self.handle(messages.Placed(upstream('e0')))
         for _ in range(STEPS):
-            if self.world.is_over:
+            if self.simulation.is_over:
                 break
-            if self.asked is not None:
+            if self.requested is not None:
                 self.answer()
             else:
-                self.happen()
+                self.step()
             self.check_time()
         self.check()
 
-    def tell(self, event: messages.Event) -> None:
+    def handle(self, event: messages.Event) -> None:
         """Tell the stream of an event and take in what it wants."""
-        assert not self.world.is_over
-        self.take(self.world.tell(event))
+        assert not self.simulation.is_over
+        self.record(self.simulation.handle(event))
 
-    def take(self, actions: list[messages.Action]) -> None:
+    def record(self, actions: list[messages.Action]) -> None:
         """Take in actions."""
         for action in actions:
             match action:
                 case messages.Send():
-                    self.take_send(action)
+                    self.record_send(action)
                 case messages.Cancel(attempt):
                     self.live.discard(attempt)
-                case messages.Place() | messages.PlaceMove():
-                    self.asked = action
-                case messages.Move():
-                    self.asked = action
+                case messages.Place() | messages.PlaceCopy():
+                    self.requested = action
+                case messages.CopyMemory():
+                    self.requested = action
 
-    def take_send(self, send: messages.Send) -> None:
+    def record_send(self, send: messages.Send) -> None:
         """Take in an attempt."""
         self.sent[send.attempt] = send
         self.produced[send.attempt] = send.last_event or 0
         self.live.add(send.attempt)
         if send.continue_from is None:
-            self.begun.add(send.attempt)
+            self.started.add(send.attempt)
         holder = None
         if send.wants_copy and self.generator.random() < 0.6:
             holder = upstream(f'c{send.attempt}')
-        self.world.stream.handle(
-            messages.CopyPlaced(send.attempt, holder), self.world.now_ms
+        self.simulation.stream.handle(
+            messages.CopyPlaced(send.attempt, holder), self.simulation.now_ms
         )
 
     def answer(self) -> None:
-        """Answer what the stream has asked for."""
-        asked, self.asked = self.asked, None
+        """Answer what the stream has requested for."""
+        requested, self.requested = self.requested, None
         good = self.generator.random() < 0.8
-        if not isinstance(asked, messages.Place):
+        if not isinstance(requested, messages.Place):
             target = upstream('m') if good else None
-            self.tell(messages.MoveEnded(target, 'h' if good else None))
+            self.handle(messages.CopyEnded(target, 'h' if good else None))
         elif good:
-            self.tell(messages.Placed(upstream(f'p{len(self.sent)}')))
+            self.handle(messages.Placed(upstream(f'p{len(self.sent)}')))
         else:
             reason = states.RefusalReason.NO_UPSTREAM
-            self.tell(messages.Refused(reason, 1.0))
+            self.handle(messages.Refused(reason, 1.0))
 
-    def happen(self) -> None:
+    def step(self) -> None:
         """Let something happen."""
         choice = self.generator.random()
         if choice < 0.25 or not self.live:
             span_ms = self.generator.choice([5.0, 50.0, 400.0, 1_500.0])
-            self.take(self.world.wait(span_ms))
+            self.record(self.simulation.wait(span_ms))
             return
         attempt = self.generator.choice(sorted(self.live))
         name = self.sent[attempt].upstream.upstream
         if choice < 0.40:
-            self.headed.add(attempt)
-            self.tell(messages.Headed(attempt, True))
-        elif choice < 0.78 and attempt in self.headed:
+            self.head_received.add(attempt)
+            self.handle(messages.HeadReceived(attempt, True))
+        elif choice < 0.78 and attempt in self.head_received:
             self.produce(attempt)
         elif choice < 0.84:
             self.live.discard(attempt)
-            left = attempt in self.headed or self.generator.random() < 0.7
+            left = (
+                attempt in self.head_received or self.generator.random() < 0.7
+            )
             if not left:
-                self.begun.discard(attempt)
-            self.tell(messages.Broken(attempt, left))
-        elif choice < 0.90 and attempt not in self.headed:
+                self.started.discard(attempt)
+            self.handle(messages.AttemptBroken(attempt, left))
+        elif choice < 0.90 and attempt not in self.head_received:
             self.live.discard(attempt)
-            self.begun.discard(attempt)
-            self.tell(messages.NotRun(attempt))
+            self.started.discard(attempt)
+            self.handle(messages.NotRun(attempt))
         elif choice < 0.97:
-            self.tell(messages.UpstreamLeaving(name))
-        elif attempt in self.headed:
+            self.handle(messages.UpstreamLeaving(name))
+        elif attempt in self.head_received:
             self.live.discard(attempt)
-            self.tell(messages.Ended(attempt))
+            self.handle(messages.AnswerCompleted(attempt))
 
     def produce(self, attempt: int) -> None:
         """Let an attempt produce its next event, or a wrong one."""
@@ -198,49 +200,56 @@
         index = self.produced[attempt]
         if self.generator.random() < 0.05:
             index = max(1, index + self.generator.choice([-2, 1]))
-        self.tell(messages.Received(attempt, index, str(index).encode()))
+        self.handle(
+            messages.EventReceived(attempt, index, str(index).encode())
+        )
 
     def check_time(self) -> None:
         """Check that no time-out is due that can do nothing."""
-        if self.world.is_over or self.asked is not None:
+        if self.simulation.is_over or self.requested is not None:
             return
-        actions = self.world.tell(messages.Tick())
-        self.take(actions)
-        if not actions and not self.world.is_over:
-            assert self.world.stream.wake_ms() > self.world.now_ms
+        actions = self.simulation.handle(messages.Tick())
+        self.record(actions)
+        if not actions and not self.simulation.is_over:
+            assert self.simulation.stream.wake_ms() > self.simulation.now_ms
 
     def check(self) -> None:
         """Check what holds at the end."""
-        actions = self.world.actions
+        actions = self.simulation.actions
         ends = [action for action in actions if isinstance(action, _ENDS)]
         assert len(ends) <= 1, ends
         if ends:
             later = actions[actions.index(ends[0]) + 1 :]
             assert all(isinstance(a, messages.Cancel) for a in later), later
-        told = [
+        forwarded = [
             int(action.data)
             for action in actions
             if isinstance(action, messages.Forward)
         ]
         # A stream may begin at any id; from there none may be missing.
-        assert told == list(range(*_span(told))), told
-        if not self.world.rules.resumable:
-            assert len(self.begun) <= 1, self.begun
+        assert forwarded == list(range(*_expected_range(forwarded))), forwarded
+        if not self.simulation.rules.resumable:
+            assert len(self.started) <= 1, self.started
         else:
-            assert len(self.begun) <= 2, self.begun
+            assert len(self.started) <= 2, self.started
         if ends and isinstance(ends[0], messages.Fail):
             not_run = ends[0].outcome is states.Outcome.NOT_RUN
-            assert not (not_run and self.begun), self.begun
-        run, successor = self.world.stream.run, self.world.stream.successor
+            assert not (not_run and self.started), self.started
+        run, successor = (
+            self.simulation.stream.run,
+            self.simulation.stream.successor,
+        )
         kept = {r.attempt for r in (run, successor) if r is not None}
         assert self.live <= kept, (self.live, kept)
 
 
-def _span(told: list[int]) -> tuple[int, int]:
-    return (told[0], told[0] + len(told)) if told else (0, 0)
+def _expected_range(forwarded: list[int]) -> tuple[int, int]:
+    return (
+        (forwarded[0], forwarded[0] + len(forwarded)) if forwarded else (0, 0)
+    )
 
 
-_ENDS = (messages.Finish, messages.BreakOff, messages.Fail)
+_ENDS = (messages.Finish, messages.AbortAnswer, messages.Fail)
 
 
 def play_history(seed: int) -> None:
