--- a/eelgrassknot/requests/claim.py
+++ b/eelgrassknot/requests/claim.py
@@ -1,4 +1,4 @@
-"""Claim of one keyed call: it runs at most once in all VMs together."""
+"""State machine of a claim, which runs a keyed call at most once."""
 
 import enum
 
@@ -42,22 +42,22 @@
     """Decides whether this VM may dispatch a keyed call.
 
     The claim is a row that is written before the call is dispatched. It
-    is never taken over: its holder may be paused and go on later. A
-    claim whose holder says that it was abandoned may be replaced.
+    is never taken over, because its holder may be paused and continue
+    later. It may be replaced only if the holder reports it as abandoned.
 
     Args:
         request_hash: Hash of the method, path and body.
-        nonce: Names this attempt; used for each repeat of its writes.
-        ledger: The claims of this VM.
+        nonce: Identifies this attempt; reused for repeated writes.
+        ledger: Claims of this VM.
         deadline_ms: Time by which the caller wants an answer.
-        now_ms: The present time.
+        now_ms: Current time.
 
     Attributes:
         version: Version of the row that this claim holds.
-        expected_version: Version that the write on its way asks for.
-        write_may_land: Whether a write of this nonce may land later.
-        found_other_claim: Whether another claim of the key has been met, so
-            that the call may have run whatever this VM does.
+        expected_version: Row version that the pending write requires.
+        write_may_land: Whether a write of this nonce may take effect later.
+        found_other_claim: Whether another claim of the key was found, in
+            which case the call may have run independently of this VM.
     """
 
     def __init__(
@@ -88,18 +88,18 @@
         self.outcome_deadline_ms = NEVER_MS
 
     def start(self) -> list[messages.Action]:
-        """Begin to claim the key."""
+        """Start claiming the key and return the first actions."""
         self.ledger.begin(self.nonce)
         return self._write(None)
 
     def handle(
         self, event: messages.Event, now_ms: float
     ) -> list[messages.Action]:
-        """Take in one event and return what is to be done.
+        """Handle an event and return the actions to perform.
 
         Args:
-            event: What happened.
-            now_ms: The present time.
+            event: Event to handle.
+            now_ms: Current time.
         """
         match self.stage:
             case ClaimStage.ENDED:
@@ -134,7 +134,7 @@
         return []
 
     def wake_ms(self) -> float:
-        """Return the time at which a tick is needed next."""
+        """Return the time at which the next tick is due."""
         return self.wake_at_ms
 
     def _write(self, version: int | None) -> list[messages.Action]:
@@ -193,8 +193,8 @@
         now_ms: float,
     ) -> list[messages.Action]:
         if row is None:
-            # Absent does not mean that the write will not land: the same
-            # write again makes sure that one of the two did.
+            # The pending write may still take effect although the row is
+            # absent. Repeating it ensures that one of the two does.
             if now_ms >= self.store_deadline_ms:
                 return self._give_up(
                     states.RefusalReason.STORE_UNAVAILABLE.value, now_ms
@@ -236,7 +236,7 @@
             return self._end(
                 messages.EndClaim(states.Outcome.UNKNOWN, 'owner_gone')
             )
-        # The owner may have stored the answer just before it went.
+        # The owner may have stored the answer just before it terminated.
         self.rechecked_version = self.found_row.version
         return self._read()
 
@@ -255,8 +255,8 @@
     ) -> list[messages.Action]:
         self.version = version
         if now_ms >= self.deadline_ms:
-            # Paused or delayed: the caller has given up, so running the
-            # call now would only surprise.
+            # The VM was paused or the write delayed. The caller has given
+            # up and would not expect the call to run now.
             return self._store(messages.ClaimState.NOT_RUN, None, now_ms) + [
                 messages.EndClaim(states.Outcome.NOT_RUN, 'deadline')
             ]
@@ -299,7 +299,8 @@
     ) -> list[messages.Action]:
         match event:
             case messages.WriteCommitted() | messages.WriteConflicted():
-                # Only this claim's own write can have changed its row.
+                # Only this claim writes over its own row, so a conflict
+                # means that an earlier write of the outcome succeeded.
                 self.stage = ClaimStage.ENDED
                 self.ledger.remove(self.nonce)
                 return []
--- a/eelgrassknot/requests/claim_expiry.py
+++ b/eelgrassknot/requests/claim_expiry.py
@@ -1,4 +1,4 @@
-"""Which claims are old enough to be removed."""
+"""Selects claims whose retention period has expired."""
 
 import collections.abc
 
@@ -17,13 +17,13 @@
     now_ms: float,
     retention_hours: float,
 ) -> list[tuple[base.Row, messages.ClaimRow]]:
-    """Return the rows whose claims have outlived their retention.
+    """Return the rows whose claims are older than the retention period.
 
     Args:
-        rows: Rows of the claims' table.
-        now_ms: Wall-clock time in milliseconds since 1970; VMs' clocks
-            may differ by far less than the retention.
-        retention_hours: How long a claim is kept.
+        rows: Rows of the claims table.
+        now_ms: Wall-clock time in milliseconds since 1970. Clock skew
+            between VMs is assumed to be far smaller than the retention.
+        retention_hours: Retention period of claims.
     """
     oldest_ms = now_ms - retention_hours * MS_PER_HOUR
     expired = []
--- a/eelgrassknot/requests/forwarded_stream.py
+++ b/eelgrassknot/requests/forwarded_stream.py
@@ -1,10 +1,10 @@
-"""Life of one forwarded stream, which may outlive its upstream.
+"""State machine of a forwarded stream that can change its upstream.
 
-A stream that may not be resumed goes on at another engine only from the
-memory of its own run: from a copy that grew while it ran, or from one
-that its engine made on request. What a copy lacks is read from the
-stream's own events, so an old one will do. A resumable stream may also be
-run anew after its last event.
+A stream that is not resumable can continue on another engine only from a
+copy of its run's memory: a copy maintained while the run progressed, or
+one made by its engine on request. The part that a copy lacks is rebuilt
+from the stream's own events, so an outdated copy can be used. A resumable
+stream can also be run again after its last event.
 
 References:
     Sun et al., "Llumnix: Dynamic Scheduling for Large Language Model
@@ -24,29 +24,33 @@
 __all__ = ['ForwardedStream']
 
 COPY_GROWTH_MS = 350.0
-"""A copy is taken for usable so long after the first event; ms. Engines
-send copies several times a second."""
+"""Time after the first event at which a maintained copy is considered
+usable; ms. Engines update copies several times a second."""
 COPY_REFRESH_MS = 3_000.0
-"""A copy made on request is brought up to date so often; ms. Engines drop
-an unused one after 5 s."""
+"""Interval between updates of a copy made on request; ms. Engines drop an
+unused copy after 5 s."""
 COPY_AGE_MS = 250.0
-"""A copy made on request is brought up to date before a planned change if
-it is older than this; ms. What it lacks is read and delays the stream."""
+"""Age above which a copy made on request is updated before a planned
+change of engine; ms. Processing the missing part delays the stream."""
 MAX_COPY_TRIES = 3
-"""How often a growing copy is tried that was not there yet."""
+"""Maximum number of attempts to continue from a maintained copy that does
+not exist on its holder yet."""
 LEAVE_SPREAD_MS = 1_100.0
-"""Runs with a copy leave an engine within this time of its notice; ms.
-Engines give 1.5 s; all at once would delay each other, and some end before
-they have to leave. Runs without a copy need all the time there is."""
+"""Period after an engine's leave notice over which runs with a copy are
+moved; ms. Engines give 1.5 s notice. Moving all runs at once would make
+them delay each other, and some runs finish before they have to move. Runs
+without a copy are moved immediately because they need the whole period."""
 SILENCE_TIMEOUT_MS = 700.0
-"""Events that stay away for so long are taken for a lost upstream, if
-there is a copy to go on from; ms."""
+"""Time without events after which the upstream is considered lost if
+there is a copy to continue from; ms."""
 SWITCH_RETRY_MS = 150.0
-"""Pause before another try to leave an upstream; ms."""
+"""Delay before retrying to move away from an upstream; ms."""
 FIRST_EVENT_CHECK_MS = 50.0
-"""How often a run that has to leave looks for its first event; ms."""
+"""Interval at which a run that has to move checks for its first event;
+ms."""
 MAX_PLACEMENTS = 6
-"""Upstreams that are asked for one stream, those that refused included."""
+"""Maximum number of upstreams tried for one stream, including those that
+refused it."""
 NEVER_MS = float('inf')
 
 
@@ -57,22 +61,22 @@
 
 
 class ForwardedStream:
-    """Decides how one stream goes on.
+    """Decides on retries, takeovers and the outcome of one stream.
 
     Args:
         request: Identifier of the request.
-        rules: What may be done with the stream.
-        deadline_ms: Time by which it has to end.
-        generator: Source of random delays.
-        last_event: Last event that the caller had before, or None.
+        rules: Recovery options of the stream.
+        deadline_ms: Time by which the stream must end.
+        generator: Random number generator for delays.
+        last_event: Last event that the caller already has, or None.
 
     Attributes:
-        run: The attempt whose events are forwarded.
-        successor: The attempt that is to take over from it.
-        last_event: Last event that was forwarded, or None.
+        run: Attempt whose events are forwarded.
+        successor: Attempt that is to take over from ``run``.
+        last_event: Last forwarded event, or None.
         answer_started: Whether the head of an answer was forwarded.
-        may_have_run: Whether a byte of any attempt may have left.
-        takeovers: How often another upstream went on with the stream.
+        may_have_run: Whether a byte of any attempt may have been sent.
+        takeovers: Number of times that another upstream took over.
     """
 
     def __init__(
@@ -108,11 +112,11 @@
     def handle(
         self, event: messages.Event, now_ms: float
     ) -> list[messages.Action]:
-        """Take in one event and return what is to be done.
+        """Handle an event and return the actions to perform.
 
         Args:
-            event: What happened.
-            now_ms: The present time.
+            event: Event to handle.
+            now_ms: Current time.
         """
         if self.stage is _Stage.ENDED:
             return []
@@ -143,7 +147,7 @@
         return []
 
     def wake_ms(self) -> float:
-        """Return the time at which a tick is needed next."""
+        """Return the time at which the next tick is due."""
         wake_ms = self.deadline_ms
         if self._has_single_run():
             wake_ms = min(wake_ms, self.switch_at_ms, self.copy_at_ms)
@@ -199,7 +203,7 @@
 
     def _continue_at_copy(self, now_ms: float) -> list[messages.Action]:
         copy = self.run.copy
-        # A copy can be used once, unless it is refused.
+        # A copy can be used only once, unless the holder refuses it.
         self.run.copy = None
         self.tried_copy = copy
         return self._send_successor(copy.holder, copy.name, now_ms)
@@ -290,7 +294,7 @@
             actions.append(messages.Cancel(self.successor.attempt))
         return actions
 
-    # Losses
+    # Failures
 
     def _attempt_broken(
         self, attempt: int, may_have_sent: bool, now_ms: float
@@ -304,7 +308,7 @@
             self.successor = None
             return self._after_lost_successor(now_ms)
         if self.successor is not None:
-            # The successor goes on from here, whatever became of this.
+            # The successor continues from the last forwarded event.
             return []
         if not may_have_sent:
             self.runs_started -= 1
@@ -315,7 +319,7 @@
         if self.run.copy is not None:
             return self._continue_at_copy(now_ms)
         if self.copying:
-            # The copy that is being made may still arrive.
+            # The copy in progress may still complete.
             return []
         return self._restart()
 
@@ -347,7 +351,7 @@
         return self._place_again()
 
     def _keep_refused_copy(self, now_ms: float) -> None:
-        """Keep a copy that was refused: it may not have been there yet."""
+        """Keep a refused copy, which may not have existed yet."""
         copy = self.tried_copy
         if copy is None or not copy.grows or copy.tries + 1 >= MAX_COPY_TRIES:
             return
@@ -365,7 +369,7 @@
         self.run = None
         return [messages.Place(frozenset(self.failed))]
 
-    # Leaving an upstream
+    # Moving away from an upstream
 
     def _upstream_leaving(
         self, upstream: str, now_ms: float
@@ -419,7 +423,7 @@
         return not copy.grows and now_ms > copy.usable_ms + COPY_AGE_MS
 
     def _make_copy(self) -> list[messages.Action]:
-        """Have the engine copy the run's memory, or bring a copy up."""
+        """Have the engine copy the run's memory, or update its copy."""
         run = self.run
         if run.first_event_ms is None or not self._may_copy():
             return []
@@ -445,12 +449,12 @@
             )
             self.copy_at_ms = now_ms + COPY_REFRESH_MS
         elif self.must_leave and run.copy is not None:
-            # It was not brought up to date, but will do.
+            # The update failed, but the outdated copy can be used.
             run.copy = dataclasses.replace(run.copy, usable_ms=now_ms)
         else:
             run.copy = None
             if event.target is None:
-                # Room may come where there was none before.
+                # Upstreams that had no room may have some later.
                 self.refused_copies.clear()
             else:
                 self.refused_copies.add(event.target.upstream)
@@ -464,7 +468,7 @@
     def _may_copy(self) -> bool:
         return self.rules.can_move and not self.rules.resumable
 
-    # Ends
+    # Outcomes
 
     def _give_up(
         self, reason: str, retry_after_ms: float | None
@@ -487,7 +491,7 @@
         return [messages.AbortAnswer(reason)]
 
     def _has_single_run(self) -> bool:
-        """Return whether one attempt runs and no other is on its way."""
+        """Return whether a run is active and no change is in progress."""
         return (
             self.run is not None
             and self.successor is None
--- a/eelgrassknot/requests/generation.py
+++ b/eelgrassknot/requests/generation.py
@@ -1,4 +1,4 @@
-"""Life of one generation request, from its arrival to its outcome."""
+"""State machine of a generation request, from arrival to outcome."""
 
 import enum
 
@@ -31,26 +31,26 @@
 
 
 class Generation:
-    """Decides how one generation request goes on.
+    """Decides on retries, reconnections and the outcome of a request.
 
-    Until the first token is delivered a lost attempt is replaced by one
-    on another engine. After that only the same generation goes on: a
-    silent or closed connection is replaced by a new one that reads from
-    the next index.
+    Until the first token is delivered, a failed attempt is replaced by one
+    on another engine. After that, only the same generation can continue:
+    a silent or closed connection is replaced by a new connection that
+    reads from the next index.
 
     Args:
         request: Identifier of the request.
-        streamed: Whether tokens are delivered as they come.
-        deadline_ms: Time by which the caller wants the whole answer.
-        now_ms: The present time.
+        streamed: Whether tokens are delivered as they arrive.
+        deadline_ms: Time by which the caller wants the complete answer.
+        now_ms: Current time.
 
     Attributes:
         connection: Number of the open connection, or None.
         resuming: Whether that connection resumes a generation.
-        probe: Number of the probe that is on its way, or None.
-        recovery: What went wrong since the engine made progress.
-        sent: Whether a byte of the present attempt may have left.
-        may_have_run: Whether a byte of any attempt may have left.
+        probe: Number of the pending status probe, or None.
+        recovery: Failures since the engine last made progress.
+        sent: Whether a byte of the current attempt may have been sent.
+        may_have_run: Whether a byte of any attempt may have been sent.
     """
 
     def __init__(
@@ -84,11 +84,11 @@
     def handle(
         self, event: messages.Event, now_ms: float
     ) -> list[messages.Action]:
-        """Take in one event and return what is to be done.
+        """Handle an event and return the actions to perform.
 
         Args:
-            event: What happened.
-            now_ms: The present time.
+            event: Event to handle.
+            now_ms: Current time.
         """
         if self.stage is Stage.ENDED:
             return []
@@ -127,13 +127,13 @@
         index: int,
         now_ms: float,
     ) -> list[messages.Action]:
-        """Go on reading a generation that another reader began.
+        """Resume reading a generation that another reader started.
 
         Args:
             upstream: Engine that runs the generation.
             generation: Identifier of the generation.
             index: Index of the first token that the caller lacks.
-            now_ms: The present time.
+            now_ms: Current time.
         """
         self.upstream = upstream
         self.generation = generation
@@ -146,12 +146,12 @@
     def receive_token(
         self, connection: int, token: upstream_messages.Token, now_ms: float
     ) -> list[messages.Action]:
-        """Take in a token; deliver it if it is the next one.
+        """Handle a received token; deliver it if it is the next one.
 
         Args:
-            connection: Connection by which the token came.
-            token: The token.
-            now_ms: The present time.
+            connection: Connection on which the token was received.
+            token: Received token.
+            now_ms: Current time.
         """
         if connection != self.connection or self.stage is Stage.ENDED:
             return []
@@ -173,7 +173,7 @@
         return [delivery, *self._drop_stream(), *self._end(done)]
 
     def wake_ms(self) -> float:
-        """Return the time at which a tick is needed next."""
+        """Return the time at which the next tick is due."""
         wake_ms = NEVER_MS
         if self.stage is Stage.STREAMING and self.probe is None:
             wake_ms = self.progress.silence_deadline_ms
@@ -182,7 +182,7 @@
         return min(wake_ms, self.deadline_ms)
 
     def is_committed(self) -> bool:
-        """Return whether the caller holds a token of the generation."""
+        """Return whether a token has been delivered to the caller."""
         return self.streamed and self.progress.next_index > 0
 
     def _open(
@@ -226,8 +226,8 @@
         return [closed]
 
     def _drop_faulty_stream(self, now_ms: float) -> list[messages.Action]:
-        # A crossed answer or a missing token: nothing more that comes by
-        # this connection can be trusted.
+        # The token belongs to another request or a token is missing, so
+        # nothing received on this connection can be trusted any more.
         self._mark_sent()
         closed = self._drop_stream()
         if self.recovery.record_faulty_stream():
@@ -249,7 +249,8 @@
                 self.connection = None
                 return self._closed(may_have_sent, now_ms)
             case messages.StreamFinished():
-                # No last token came, so only a status can tell.
+                # The final token is missing: probe the engine at once to
+                # find out how the generation ended.
                 self.connection = None
                 self._mark_sent()
                 self.progress.silence_deadline_ms = now_ms
@@ -333,7 +334,7 @@
             return []
         self.probe = None
         if now_ms < self.progress.silence_deadline_ms:
-            # Tokens came while the probe was on its way.
+            # Tokens arrived while the probe was pending.
             return []
         self._mark_sent()
         match event:
@@ -366,7 +367,7 @@
     def _ended_early(self, now_ms: float) -> list[messages.Action]:
         if self.progress.first_index == 0 or self.progress.received_count():
             return self._generation_lost('ended_early', now_ms)
-        # The caller had the whole answer when it came back.
+        # The caller already had the complete answer when it resumed.
         self.progress.charge(now_ms)
         return self._end(
             messages.EndRequest(states.Outcome.DONE, 'already_complete')
@@ -415,7 +416,7 @@
             return self._end(self._no_answer(reason))
         self.progress.charge(now_ms)
         if self.connection is not None:
-            # The bytes may be on their way whatever was heard of them.
+            # The request may have been sent, even if nothing was received.
             self._mark_sent()
         actions = self._drop_stream() + self._cancel(0)
         if not self.is_committed():
@@ -443,7 +444,7 @@
             self.progress.charge(now_ms)
         actions = self._drop_stream()
         if self.stage is not Stage.QUEUED and grace_ms is not None:
-            # The bytes may be on their way whatever was heard of them.
+            # The request may have been sent, even if nothing was received.
             self._mark_sent()
             actions += self._cancel(grace_ms if self.is_committed() else 0)
         end = messages.EndRequest(states.Outcome.INCOMPLETE, reason)
--- a/eelgrassknot/requests/plain_call.py
+++ b/eelgrassknot/requests/plain_call.py
@@ -1,4 +1,4 @@
-"""Life of one call to a plain service."""
+"""State machine of a call to a plain service."""
 
 import dataclasses
 import enum
@@ -22,14 +22,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class AttemptRules:
-    """How often a call may be tried.
+    """Limits on the attempts of a call.
 
     Attributes:
-        max_attempts: Upstreams that may run an idempotent call.
-        max_placements: Upstreams that may be asked at all, those that
-            refused it or were not reached included.
-        retried_statuses: Answers after which an idempotent call is tried
-            elsewhere.
+        max_attempts: Maximum number of upstreams that may run an
+            idempotent call.
+        max_placements: Maximum number of upstreams tried, including those
+            that refused the call or were not reached.
+        retried_statuses: Status codes after which an idempotent call is
+            retried on another upstream.
     """
 
     max_attempts: int = MAX_ATTEMPTS
@@ -48,21 +49,21 @@
 
 
 class PlainCall:
-    """Decides how one plain call goes on.
+    """Decides on retries and the outcome of one plain call.
 
-    An idempotent call is repeated on other upstreams, as far as the
-    dispatcher's retry budget and the deadline allow. Any other call is
-    sent again only if no byte of it has left.
+    An idempotent call is retried on other upstreams within the
+    dispatcher's retry budget and the deadline. Any other call is sent
+    again only if no byte of it was sent.
 
     Args:
         request: Identifier of the request.
-        call_class: How often the call may run.
-        deadline_ms: Time by which the call has to end.
-        generator: Source of random delays.
-        rules: How often it may be tried.
+        call_class: Class that determines how often the call may run.
+        deadline_ms: Time by which the call must end.
+        generator: Random number generator for delays.
+        rules: Limits on the attempts.
 
     Attributes:
-        may_have_run: Whether a byte of any attempt may have left.
+        may_have_run: Whether a byte of any attempt may have been sent.
     """
 
     def __init__(
@@ -93,11 +94,11 @@
     def handle(
         self, event: messages.Event, now_ms: float
     ) -> list[messages.Action]:
-        """Take in one event and return what is to be done.
+        """Handle an event and return the actions to perform.
 
         Args:
-            event: What happened.
-            now_ms: The present time.
+            event: Event to handle.
+            now_ms: Current time.
         """
         if self.stage is _Stage.ENDED:
             return []
@@ -124,7 +125,7 @@
         return []
 
     def wake_ms(self) -> float:
-        """Return the time at which a tick is needed next."""
+        """Return the time at which the next tick is due."""
         if self.stage is _Stage.BACKING_OFF:
             return min(self.retry_at_ms, self.deadline_ms)
         return self.deadline_ms
@@ -144,7 +145,7 @@
         self.stage = _Stage.SENDING
         timeout_ms = remaining_ms
         if self._may_run_again():
-            # Leaves time for another attempt if this connection is dead.
+            # Leave time for another attempt if this connection is dead.
             share_ms = max(MIN_ATTEMPT_MS, ATTEMPT_SHARE * remaining_ms)
             timeout_ms = min(remaining_ms, share_ms)
         needs_new_connection = not self.is_repeatable() or self.attempt > 1
@@ -159,7 +160,8 @@
     ) -> list[messages.Action]:
         self.may_have_run = True
         if answer.request is not None and answer.request != self.request:
-            # Another caller's answer; our own may come anywhere or never.
+            # The answer belongs to another request. The answer to this
+            # one may arrive on another connection or not at all.
             return self._retry_or_stop('crossed_answer', now_ms)
         if (
             self.is_repeatable()
@@ -212,7 +214,7 @@
     def _tick(self, now_ms: float) -> list[messages.Action]:
         if now_ms >= self.deadline_ms:
             if self.stage is _Stage.SENDING:
-                # The bytes may be on their way.
+                # The request may already have been sent.
                 self.may_have_run = True
             return self._stop('deadline')
         if self.stage is _Stage.BACKING_OFF and now_ms >= self.retry_at_ms:
@@ -244,9 +246,10 @@
 def outcome_of(
     answer: messages.Answer | messages.ForwardedAnswer,
 ) -> states.Outcome:
-    """Return the outcome that an upstream's answer stands for.
+    """Return the outcome indicated by an upstream's answer.
 
-    A stored answer that a repeat is given has the same one.
+    A stored answer returned to a repeated call has the same outcome as it
+    had for the first caller.
     """
     if answer.status >= SERVER_ERROR_STATUS:
         return states.Outcome.FAILED
--- a/eelgrassknot/requests/plain_messages.py
+++ b/eelgrassknot/requests/plain_messages.py
@@ -1,4 +1,4 @@
-"""Events that a plain call is told and actions that it returns."""
+"""Events handled and actions returned by a plain call."""
 
 import dataclasses
 import enum
@@ -28,7 +28,7 @@
 
 
 class CallClass(enum.Enum):
-    """How often a call may run."""
+    """Class of a call, which determines how often it may run."""
 
     IDEMPOTENT = 'idempotent'
     ONCE = 'once'
@@ -36,10 +36,10 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """What an upstream answered.
+    """Answer of an upstream.
 
     Attributes:
-        request: Request that the upstream says it answers, or None.
+        request: Request id echoed by the upstream, or None.
     """
 
     status: int
@@ -50,11 +50,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForwardedAnswer:
-    """An upstream's answer that goes to the caller byte for byte.
+    """Answer of an upstream that is forwarded to the caller unchanged.
 
     Attributes:
-        request: Request that the upstream says it answers, or None.
-        headers: Headers in the upstream's own spelling.
+        request: Request id echoed by the upstream, or None.
+        headers: Headers with the upstream's original spelling.
     """
 
     status: int
@@ -89,10 +89,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptFailed:
-    """An attempt got no answer.
+    """An attempt received no answer.
 
     Attributes:
-        may_have_sent: Whether any byte of the request may have left.
+        may_have_sent: Whether any byte of the request may have been sent.
     """
 
     attempt: int
@@ -101,7 +101,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """The upstream promised that it did not and will not run an attempt."""
+    """The upstream confirmed that an attempt was not and will not be run."""
 
     attempt: int
 
@@ -116,7 +116,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """Have the dispatcher choose another upstream."""
+    """Request another upstream from the dispatcher."""
 
     failed: ids.UpstreamId
 
@@ -126,8 +126,8 @@
     """Send the request to an upstream.
 
     Attributes:
-        needs_new_connection: Whether only a new connection will do: one
-            that was open before may have gone silent, which would leave
+        needs_new_connection: Whether a new connection must be opened. An
+            idle connection may be dead without notice, which would leave
             the outcome unknown.
     """
 
@@ -139,7 +139,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndCall:
-    """Tell the caller the outcome; nothing follows."""
+    """Report the outcome to the caller; the last action of a call."""
 
     outcome: states.Outcome
     reason: str
--- a/eelgrassknot/requests/stream_messages.py
+++ b/eelgrassknot/requests/stream_messages.py
@@ -1,4 +1,4 @@
-"""Events that a forwarded stream is told and actions that it returns."""
+"""Events handled and actions returned by a forwarded stream."""
 
 import dataclasses
 
@@ -37,13 +37,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class StreamRules:
-    """What may be done with a stream.
+    """Recovery options of a stream.
 
     Attributes:
-        resumable: Whether a new run may go on after the last event.
-        max_attempts: Upstreams that may run it.
-        can_copy: Whether its run can have a growing copy elsewhere.
-        can_move: Whether its run can be moved on request.
+        resumable: Whether a new run may continue after the last event.
+        max_attempts: Maximum number of upstreams that may run it.
+        can_copy: Whether its engine can maintain a copy of the run's
+            memory on another engine.
+        can_move: Whether its engine can copy the run's memory on request.
     """
 
     resumable: bool
@@ -61,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CopyPlaced:
-    """The dispatcher chose who keeps the copy of an attempt's run."""
+    """The dispatcher chose an upstream to hold the copy of a run."""
 
     attempt: int
     upstream: UpstreamInfo | None
@@ -77,10 +78,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeadReceived:
-    """The head of an attempt's answer has come.
+    """The head of an attempt's answer was received.
 
     Attributes:
-        accepted: Whether it is a genuine success.
+        accepted: Whether it is a success response to this request.
     """
 
     attempt: int
@@ -89,10 +90,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EventReceived:
-    """A whole event of an attempt's stream has come.
+    """A complete event of an attempt's stream was received.
 
     Attributes:
-        index: The event's id, or None if it has none.
+        index: Numeric id of the event, or None if it has none.
     """
 
     attempt: int
@@ -109,7 +110,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptBroken:
-    """An attempt ended without a complete answer."""
+    """An attempt ended without a complete answer.
+
+    Attributes:
+        may_have_sent: Whether any byte of the request may have been sent.
+    """
 
     attempt: int
     may_have_sent: bool
@@ -117,25 +122,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """The upstream promised that it did not and will not run an attempt."""
+    """The upstream confirmed that an attempt was not and will not be run."""
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamLeaving:
-    """An upstream is about to leave, or has left."""
+    """An upstream is leaving or has left the deployment."""
 
     upstream: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CopyEnded:
-    """A move of the run's memory has ended.
+    """A requested copy of the run's memory has finished or failed.
 
     Attributes:
-        target: Where the memory was to go, or None if nowhere has room.
-        handle: Names the copy there, or None if there is none.
+        target: Upstream to hold the copy, or None if none has room.
+        handle: Name of the copy on the target, or None if it failed.
     """
 
     target: UpstreamInfo | None
@@ -164,10 +169,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """Have the dispatcher choose an upstream.
+    """Request an upstream from the dispatcher.
 
     Attributes:
-        failed: Upstreams that it must not choose.
+        failed: Upstreams that must not be chosen.
     """
 
     failed: frozenset[str]
@@ -175,11 +180,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlaceCopy:
-    """Have the dispatcher choose where the run's memory can be copied.
+    """Request an upstream to hold a copy of the run's memory.
 
     Attributes:
         refused: Upstreams that had no room for it.
-        must_fit: Whether only an upstream with room will do.
+        must_fit: Whether the upstream must have room for the copy.
     """
 
     source: UpstreamInfo
@@ -192,10 +197,11 @@
     """Send the request to an upstream.
 
     Attributes:
-        continue_from: ``IP:port/name`` of the memory to go on from.
-        last_event: Event after which it goes on, or None.
-        wants_copy: Whether a copy of the run is to grow elsewhere.
-        is_repeat: Whether the retry budget pays for it.
+        continue_from: ``IP:port/name`` of the memory copy to continue
+            from, or None for a new run.
+        last_event: Event after which to continue, or None.
+        wants_copy: Whether to maintain a copy on another engine.
+        is_repeat: Whether it counts against the retry budget.
     """
 
     attempt: int
@@ -215,7 +221,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CopyMemory:
-    """Have the source copy what is new of the run's memory to a target."""
+    """Have the source copy new parts of the run's memory to a target."""
 
     source: UpstreamInfo
     target: UpstreamInfo
@@ -223,14 +229,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartAnswer:
-    """Pass the head of an attempt's answer on to the caller."""
+    """Forward the head of an attempt's answer to the caller."""
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Forward:
-    """Pass an event on to the caller."""
+    """Forward an event to the caller."""
 
     data: bytes
 
@@ -242,14 +248,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AbortAnswer:
-    """End the caller's answer visibly incomplete."""
+    """Abort the caller's answer so that it is visibly incomplete."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fail:
-    """Tell the caller that there is no answer.
+    """Report to the caller that there is no answer.
 
     Attributes:
         outcome: Whether the request may have run.
--- a/eelgrassknot/requests/stream_run.py
+++ b/eelgrassknot/requests/stream_run.py
@@ -1,4 +1,4 @@
-"""One attempt of a forwarded stream, and a copy of its run's memory."""
+"""Attempts of a forwarded stream and copies of their engine memory."""
 
 import dataclasses
 
@@ -9,14 +9,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class MemoryCopy:
-    """A copy of a run's memory.
+    """A copy of a run's memory on another engine.
 
     Attributes:
-        holder: Engine that keeps it.
-        name: ``IP:port/name`` under which it is continued from.
-        usable_ms: When there is enough of it.
-        grows: Whether it grows by itself.
-        tries: How often it was continued from in vain.
+        holder: Engine that holds the copy.
+        name: ``IP:port/name`` that identifies the copy to its holder.
+        usable_ms: Time from which the copy is complete enough to use.
+        grows: Whether the running engine keeps the copy up to date.
+        tries: Number of failed attempts to continue from the copy.
     """
 
     holder: kernel_events.UpstreamInfo
@@ -28,13 +28,13 @@
 
 @dataclasses.dataclass
 class Run:
-    """One attempt.
+    """One attempt to run the stream.
 
     Attributes:
-        copy: Copy of the run's memory.
-        head_received: Whether its answer has begun.
-        first_event_ms: When its first event came.
-        last_activity_ms: When it was last heard of.
+        copy: Copy of the run's memory, or None.
+        head_received: Whether the head of its answer was received.
+        first_event_ms: Time of its first event, or None.
+        last_activity_ms: Time of the last sign of life.
     """
 
     attempt: int
--- a/tests/claim_simulation.py
+++ b/tests/claim_simulation.py
@@ -1,7 +1,7 @@
-"""Several VMs, a store that loses answers, and one keyed call.
+"""Simulates a keyed call on several VMs with an unreliable store.
 
-Hypothesis chooses when writes land, which answers are lost, which VM
-crashes, and when the caller repeats its call.
+Hypothesis chooses when writes take effect, which responses are lost, which
+VM crashes, and when the caller repeats its call.
 """
 
 import dataclasses
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass
 class _Attempt:
-    """One call of the caller at one VM."""
+    """One call of the caller to one VM."""
 
     vm: str
     incarnation: str
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass
 class _Write:
-    """A write on its way to the store."""
+    """A write sent to the store."""
 
     attempt: _Attempt
     version: int | None
@@ -68,14 +68,14 @@
         fault=strategies.sampled_from(['none', 'lost', 'late']),
     )
     def call_twice(self, first, second, fault):
-        """The caller repeats its call soon."""
+        """The caller repeats its call immediately."""
         self.call(vm=first, other=1)
         self.act_once(pick=0, fault=fault)
         self.call(vm=second, other=1)
 
     @stateful.rule(vm=strategies.sampled_from(VMS), other=_PICK)
     def call(self, vm, other):
-        """The caller sends its call, or another one with the same key."""
+        """The caller sends its call, or another call with the same key."""
         if sum(a.end is None for a in self.attempts) > 3:
             return
         self.nonces += 1
@@ -100,11 +100,11 @@
         ]
 
     def handle(self, attempt, event):
-        """Tell a claim and keep what it wants."""
+        """Pass an event to a claim and queue its actions."""
         attempt.actions += attempt.machine.handle(event, self.now_ms)
 
     def apply(self, write):
-        """Let a write reach the store; return what the store says."""
+        """Apply a write to the store and return the store's response."""
         present = self.version if self.row is not None else None
         if write.version != present:
             return messages.WriteConflicted()
@@ -120,19 +120,19 @@
         ),
     )
     def act(self, pick, fault):
-        """A VM does the next thing that a claim wants."""
+        """A VM performs the next action of a claim."""
         self.act_once(pick, fault)
 
     @stateful.precondition(lambda self: any(a.actions for a in self.alive()))
     @stateful.rule(pick=_PICK, count=strategies.integers(2, 4))
     def act_on(self, pick, count):
-        """VMs do several things without a fault."""
+        """VMs perform several actions without a fault."""
         for _ in range(count):
             if any(a.actions for a in self.alive()):
                 self.act_once(pick, 'none')
 
     def act_once(self, pick, fault):
-        """Do one action of one claim."""
+        """Perform one action of one claim."""
         ready = [a for a in self.alive() if a.actions]
         attempt = ready[pick % len(ready)]
         action = attempt.actions.pop(0)
@@ -156,7 +156,7 @@
                 attempt.end = action
 
     def new_row(self, attempt, state, answer=None):
-        """Return a row as a VM writes it."""
+        """Return a row as written by a VM."""
         return messages.ClaimRow(
             state=state,
             vm=attempt.vm,
@@ -181,7 +181,7 @@
             self.handle(write.attempt, messages.WriteUnknown())
 
     def query_owner(self, row, fault):
-        """Ask the VM that a row names."""
+        """Query the VM named in a row."""
         if fault in ('lost', 'down'):
             return messages.OwnerAnswered(peers.OwnerAnswer.UNREACHABLE)
         ledger = self.ledgers[row.vm]
@@ -189,7 +189,7 @@
         return messages.OwnerAnswered(answer)
 
     def run_call(self, attempt, pick):
-        """Dispatch the call; it runs, or not a byte of it leaves."""
+        """Dispatch the call; it runs, or no byte of it is sent."""
         assert not attempt.dispatched, 'one claim dispatched twice'
         attempt.dispatched = True
         nonce = attempt.machine.nonce
@@ -207,19 +207,19 @@
     @stateful.precondition(lambda self: self.delayed)
     @stateful.rule(pick=_PICK)
     def late_write_lands(self, pick):
-        """A write whose answer was given up lands."""
+        """A write whose response timed out takes effect."""
         self.apply(self.delayed.pop(pick % len(self.delayed)))
 
     @stateful.rule(by_ms=strategies.sampled_from([200.0, 1_500.0, 6_000.0]))
     def pass_time(self, by_ms):
-        """Time passes; paused VMs hear of it like all others."""
+        """Time passes on all VMs, including paused ones."""
         self.now_ms += by_ms
         for attempt in self.alive():
             self.handle(attempt, messages.Tick())
 
     @stateful.rule(vm=strategies.sampled_from(VMS), rare=_PICK)
     def crash(self, vm, rare):
-        """A VM is replaced, seldom."""
+        """A VM is occasionally replaced."""
         if rare % 2:
             return
         self.crashes += 1
@@ -232,7 +232,7 @@
 
     @stateful.invariant()
     def outcomes_are_true(self):
-        """What each attempt was told is so, and stays so."""
+        """The outcome reported to each attempt is and stays correct."""
         for attempt in self.attempts:
             if attempt.end is None:
                 continue
--- a/tests/generation_simulation.py
+++ b/tests/generation_simulation.py
@@ -1,8 +1,7 @@
-"""Engines, links and a dispatcher around one generation request.
+"""Simulates engines, connections and a dispatcher for one request.
 
-Hypothesis chooses in which order things happen to them. The tokens that
-each engine produced and those that the caller got are compared after
-every step.
+Hypothesis chooses the sequence of events. The tokens produced by each
+engine are compared with those delivered to the caller after every step.
 """
 
 import dataclasses
@@ -55,7 +54,7 @@
 
 @dataclasses.dataclass
 class _Connection:
-    """A connection, as the engine's side sees it."""
+    """A connection as seen by the engine."""
 
     number: int
     generation: str
@@ -91,7 +90,7 @@
         lead=strategies.integers(0, 3),
     )
     def arrive(self, streamed, hurried, lead):
-        """Begin a request, which often has its first tokens soon."""
+        """Start a request, often with its first tokens delivered."""
         deadline_ms = 5_000.0 if hurried else None
         self.streamed = streamed
         self.machine = self.machine_class(REQUEST, streamed, deadline_ms, 0.0)
@@ -104,12 +103,12 @@
         self.receive(kind=1, count=lead)
 
     def handle(self, event):
-        """Tell the machine and do what it wants."""
+        """Pass an event to the state machine and perform its actions."""
         for action in self.machine.handle(event, self.now_ms):
             self.perform(action)
 
     def perform(self, action):
-        """Do one action in this world."""
+        """Perform one action in the simulation."""
         assert self.ended is None, f'{action} after the end'
         match action:
             case messages.DeliverToken(token):
@@ -135,11 +134,11 @@
                 self.ended = action
 
     def connection(self, kind):
-        """Return one of the connections, old ones included."""
+        """Return one of the connections, including closed ones."""
         numbers = sorted(self.connections)
         if not numbers:
             return None
-        # The newest is of most interest.
+        # Prefer the newest connection.
         back = 0 if kind % 4 else kind // 4 % len(numbers)
         return self.connections[numbers[-1 - back]]
 
@@ -178,7 +177,7 @@
     @stateful.precondition(lambda self: self.connections)
     @stateful.rule(kind=_KINDS, status=strategies.sampled_from([503, 500]))
     def engine_refuses(self, kind, status):
-        """An engine answers that it did not take the request."""
+        """An engine rejects the request."""
         connection = self.connection(kind)
         if connection.started:
             return
@@ -207,7 +206,7 @@
         state=strategies.sampled_from(['preempted', 'running', 'cancelled']),
     )
     def change_state(self, kind, state):
-        """An engine preempts, goes on, or gives up."""
+        """An engine preempts, resumes or cancels a generation."""
         generation = self.running[
             sorted(self.running)[kind % len(self.running)]
         ]
@@ -217,7 +216,7 @@
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(kind=_KINDS, count=strategies.integers(1, 3))
     def receive(self, kind, count):
-        """The next tokens come by a connection."""
+        """The next tokens are received on a connection."""
         for _ in range(count):
             self.receive_one(kind, 'none')
 
@@ -229,11 +228,11 @@
         ),
     )
     def receive_wrong(self, kind, fault):
-        """A wrong token comes by a connection."""
+        """A wrong token is received on a connection."""
         self.receive_one(kind, fault)
 
     def receive_one(self, kind, fault):
-        """Pass on one token of a connection."""
+        """Deliver one token of a connection."""
         connection = self.connection(kind)
         generation = self.running.get(connection.generation)
         if generation is None or not connection.started:
@@ -259,7 +258,7 @@
     @stateful.precondition(lambda self: self.connections)
     @stateful.rule(kind=_KINDS, finished=strategies.booleans())
     def close(self, kind, finished):
-        """A connection ends."""
+        """A connection is closed."""
         connection = self.connection(kind)
         if connection.closed:
             return
@@ -267,7 +266,7 @@
         if finished and connection.started:
             self.handle(messages.StreamFinished(connection.number))
             return
-        # What left may reach the engine later on.
+        # A request that was sent may reach the engine later.
         sent = connection.started or bool(kind % 2)
         connection.started = connection.started or not sent
         self.handle(messages.StreamClosed(connection.number, sent))
@@ -303,7 +302,7 @@
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(kind=_KINDS)
     def engine_dies(self, kind):
-        """An engine restarts and knows nothing any more."""
+        """An engine restarts and loses its generations."""
         del self.running[sorted(self.running)[kind % len(self.running)]]
 
     @stateful.rule(by_ms=strategies.sampled_from([10.0, 400.0, 5_000.0]))
@@ -314,13 +313,13 @@
 
     @stateful.rule(rare=strategies.integers(0, 30))
     def caller_leaves(self, rare):
-        """The caller leaves, seldom."""
+        """The caller occasionally disconnects."""
         if not rare:
             self.handle(messages.CallerGone())
 
     @stateful.invariant()
     def one_generation_in_order(self):
-        """Each token once, in order, all of one generation."""
+        """Each token is delivered once, in order, of one generation."""
         names = {token.generation for token in self.delivered}
         assert len(names) <= 1, names
         assert 'other' not in names, 'a token of another generation'
@@ -332,7 +331,7 @@
 
     @stateful.invariant()
     def outcome_is_true(self):
-        """What the caller is told is so."""
+        """The reported outcome matches what happened."""
         if self.ended is None:
             return
         outcome = self.ended.outcome
@@ -345,7 +344,7 @@
 
     @stateful.invariant()
     def time_adds_up(self):
-        """The parts are the whole."""
+        """The parts of the time sum to the total."""
         if self.machine is not None:
             line = self.machine.progress.timeline
             assert abs(sum(line.parts.values()) - line.total_ms()) < 1e-6
--- a/tests/histories.py
+++ b/tests/histories.py
@@ -1,4 +1,4 @@
-"""Runs state machines of hypothesis the same way each time."""
+"""Runs Hypothesis state machines deterministically."""
 
 import hypothesis
 from hypothesis import stateful
@@ -9,16 +9,16 @@
 def run_histories(histories, machine_class, examples, step_count):
     """Run random histories of a state machine under test.
 
-    The same histories are drawn in each run.
+    Each run generates the same histories.
 
     Args:
-        histories: Rule-based machine that drives ``machine_class``.
-        machine_class: Class under test, or a broken variant of it.
+        histories: Rule-based state machine that drives ``machine_class``.
+        machine_class: Class under test, or a faulty variant of it.
         examples: Number of histories.
-        step_count: Events in each.
+        step_count: Number of events in each history.
 
     Raises:
-        AssertionError: If a history breaks what is promised.
+        AssertionError: If a history violates an invariant.
     """
     driven = type('Histories', (histories,), {'machine_class': machine_class})
     stateful.run_state_machine_as_test(
--- a/tests/requests/cursor.feature
+++ b/tests/requests/cursor.feature
@@ -1,14 +1,14 @@
-Feature: Cursors let a caller go on at any entry VM
+Feature: A caller can resume on any entry VM with a cursor
 
-  Scenario: a cursor survives the rotation of keys
+  Scenario: a cursor stays valid during key rotation
     Given a stream cursor signed with the key "old"
     Then it is accepted by VMs with the cursor keys "old", "new old", "old new"
-    And it is refused by VMs with the cursor keys "new"
+    And it is rejected by VMs with the cursor keys "new"
 
   Scenario: a cursor is bound to its client account
     Given a stream cursor signed with the key "old"
-    Then it is refused for another client account
+    Then it is rejected for another client account
 
-  Scenario: a changed cursor is refused
+  Scenario: a modified cursor is rejected
     Given a stream cursor signed with the key "old"
-    Then no cursor with one character changed gives another origin
+    Then no cursor with one character changed yields another origin
--- a/tests/requests/forwarded_stream.feature
+++ b/tests/requests/forwarded_stream.feature
@@ -1,102 +1,102 @@
-Feature: A forwarded stream outlives its engine
+Feature: A forwarded stream continues after its engine fails or leaves
 
-  Scenario: a stream goes on from the copy that grew while it ran
+  Scenario: a stream continues from the copy maintained while it ran
     Given a stream that runs on e1 with a copy on e2
-    And events 1 to 5 have come
-    When the engine breaks off
-    Then the stream is sent to e2 to go on after event 5 from its copy
-    When the new attempt is answered
-    And event 6 comes
+    And events 1 to 5 have been received
+    When the engine's connection breaks
+    Then the stream is sent to e2 to continue after event 5 from its copy
+    When the head of the new attempt's answer is received
+    And event 6 is received
     Then event 6 is forwarded
 
-  Scenario: a stream without a copy that breaks ends visibly incomplete
+  Scenario: a broken stream without a copy ends visibly incomplete
     Given a stream that runs on e1 without a copy
-    And events 1 to 5 have come
-    When the engine breaks off
-    Then the stream is broken off
+    And events 1 to 5 have been received
+    When the engine's connection breaks
+    Then the answer is aborted
 
-  Scenario: a request that may have run is never said not to have run
+  Scenario: a request that may have run is not reported as not run
     Given a stream that runs on e1 without a copy
-    When the engine breaks off
-    Then the caller is told that the outcome is unknown
+    When the engine's connection breaks
+    Then the outcome is reported as unknown
 
-  Scenario: a request that an engine promised not to run goes elsewhere
+  Scenario: a request that was confirmed as not run is sent to another engine
     Given a stream that runs on e1 without a copy
-    When the engine says that it did not run it
-    Then another engine than e1 is wanted
+    When the engine confirms that it did not run it
+    Then an engine other than e1 is requested
 
-  Scenario: a resumable stream is run anew after its last event
+  Scenario: a resumable stream is run again after its last event
     Given a resumable stream that runs on e1
-    And events 1 to 2 have come
-    When the engine breaks off
-    Then another engine than e1 is wanted
+    And events 1 to 2 have been received
+    When the engine's connection breaks
+    Then an engine other than e1 is requested
     When it is placed on e2
-    Then the stream is sent to e2 to run anew after event 2
+    Then the stream is sent to e2 to run again after event 2
 
   Scenario: a resumable stream runs on no more engines than its route allows
     Given a resumable stream that runs on e1
-    When the engine breaks off
+    When the engine's connection breaks
     And it is placed on e2
-    And the engine breaks off
-    Then the caller is told that the outcome is unknown
+    And the engine's connection breaks
+    Then the outcome is reported as unknown
 
-  Scenario: the engine that is left stops when the next has answered
+  Scenario: the old engine is cancelled when the new one has answered
     Given a stream that runs on e1 with a copy on e2
-    And events 1 to 5 have come
-    When e1 is about to leave and 2000 ms have passed
-    Then the stream is sent to e2 to go on after event 5 from its copy
-    And the first attempt still runs
-    When the new attempt is answered
+    And events 1 to 5 have been received
+    When e1 announces that it is leaving and 2000 ms pass
+    Then the stream is sent to e2 to continue after event 5 from its copy
+    And the first attempt is not cancelled yet
+    When the head of the new attempt's answer is received
     Then the first attempt is cancelled
 
-  Scenario: a stream without a copy that has to leave gets one made
+  Scenario: a stream without a copy requests one when its engine leaves
     Given a stream that runs on e1 without a copy
-    And events 1 to 5 have come
-    When e1 is about to leave and 1 ms have passed
-    Then a place for a copy is wanted
-    When a copy named h7 was made on e3
-    Then the stream is sent to e3 to go on after event 5 from e1's copy h7
+    And events 1 to 5 have been received
+    When e1 announces that it is leaving and 1 ms pass
+    Then an upstream for a copy is requested
+    When a copy named h7 is made on e3
+    Then the stream is sent to e3 to continue after event 5 from e1's copy h7
 
-  Scenario: a copy that was not there yet is tried again
+  Scenario: a copy that did not exist yet is tried again
     Given a stream that runs on e1 with a copy on e2
-    And events 1 to 5 have come
-    When e1 is about to leave and 2000 ms have passed
+    And events 1 to 5 have been received
+    When e1 announces that it is leaving and 2000 ms pass
     And the new attempt is refused
-    And 200 ms have passed
-    Then the stream is sent to e2 to go on after event 5 from its copy
+    And 200 ms pass without an event
+    Then the stream is sent to e2 to continue after event 5 from its copy
 
-  Scenario: events that came before are dropped
+  Scenario: duplicate events are dropped
     Given a stream that runs on e1 without a copy
-    And events 1 to 5 have come
-    When event 4 comes
+    And events 1 to 5 have been received
+    When event 4 is received
     Then nothing is forwarded
 
-  Scenario: a stream with a missing event is broken off
+  Scenario: a stream with a missing event is aborted
     Given a stream that runs on e1 without a copy
-    And events 1 to 5 have come
-    When event 8 comes
-    Then the stream is broken off
+    And events 1 to 5 have been received
+    When event 8 is received
+    Then the answer is aborted
 
-  Scenario: silence with a copy is taken for a lost engine
+  Scenario: a silent engine is considered lost if there is a copy
     Given a stream that runs on e1 with a copy on e2
-    And events 1 to 5 have come
-    When 800 ms have passed
-    Then the stream is sent to e2 to go on after event 5 from its copy
+    And events 1 to 5 have been received
+    When 800 ms pass without an event
+    Then the stream is sent to e2 to continue after event 5 from its copy
 
-  Scenario: random histories keep what always holds
-    Then 3000 random histories of streams keep these promises
-      | promise                                                       |
-      | events are forwarded once and in order                        |
-      | a run that may not be repeated begins at most once            |
-      | a stream ends once and says nothing afterwards                |
-      | not run is said only if no attempt may have run               |
-      | a time-out is never due at a time that has been acted on      |
-      | an attempt that is followed by another is cancelled           |
+  Scenario: random histories satisfy the invariants
+    Then 3000 random histories of streams satisfy these invariants
+      | invariant                                                 |
+      | events are forwarded once and in order                    |
+      | a run that may not be repeated starts at most once        |
+      | a stream ends once and forwards nothing afterwards        |
+      | not run is reported only if no attempt may have run       |
+      | a timeout is never due at a time that was already handled |
+      | an attempt that is replaced by another is cancelled       |
 
-  Scenario: an engine that was not reached does not count as one that ran it
+  Scenario: an engine that was not reached does not count as an attempt
     Given a resumable stream that runs on e1
     When the engine is not reached
     And it is placed on e2
-    And the engine breaks off
+    And the engine's connection breaks
     And it is placed on e3
-    Then the stream is sent to e3 to run anew from its start
+    Then the stream is sent to e3 to run again from the start
--- a/tests/requests/plain_call.feature
+++ b/tests/requests/plain_call.feature
@@ -1,20 +1,20 @@
-Feature: Calls to plain services by their class
+Feature: Calls to plain services are retried according to their class
 
-  Scenario Outline: what follows when an attempt gets no answer
+  Scenario Outline: an attempt that receives no answer
     Given a plain call of class <class>
     When its attempt fails and <bytes>
     Then the plain call <next>
 
     Examples:
-      | class      | bytes               | next                         |
-      | idempotent | bytes have left     | is sent again after a delay  |
-      | idempotent | no byte has left    | wants another upstream       |
-      | once       | bytes have left     | ends as unknown              |
-      | once       | no byte has left    | wants another upstream       |
-      | keyed      | bytes have left     | ends as unknown              |
-      | keyed      | no byte has left    | wants another upstream       |
-
-  Scenario Outline: a crossed answer is never delivered
+      | class      | bytes            | next                        |
+      | idempotent | bytes were sent  | is sent again after a delay |
+      | idempotent | no byte was sent | requests another upstream   |
+      | once       | bytes were sent  | ends as unknown             |
+      | once       | no byte was sent | requests another upstream   |
+      | keyed      | bytes were sent  | ends as unknown             |
+      | keyed      | no byte was sent | requests another upstream   |
+
+  Scenario Outline: the answer to another request is never delivered
     Given a plain call of class <class>
     When its attempt is answered with another request's answer
     Then the plain call <next>
@@ -24,9 +24,9 @@
       | idempotent | is sent again after a delay |
       | once       | ends as unknown             |
 
-  Scenario: a refused call that never left is not_run
+  Scenario: a refused call that was never sent is not_run
     Given a plain call of class once
-    When its attempt fails and no byte has left
+    When its attempt fails and no byte was sent
     And the dispatcher refuses it
     Then the plain call ends as not_run
 
@@ -43,6 +43,6 @@
   Scenario: delays are decorrelated and bounded
     Then 1000 delays lie between 20 and 1000 ms and differ by seed
 
-  Scenario: a stored answer has the outcome that it had for the first caller
-    Then an answer with the status 500 stands for failed
-    And an answer with the status 404 stands for done
+  Scenario: a stored answer has the same outcome as for the first caller
+    Then an answer with the status 500 indicates failed
+    And an answer with the status 404 indicates done
--- a/tests/requests/readers.feature
+++ b/tests/requests/readers.feature
@@ -1,6 +1,6 @@
 Feature: The newest reader of a generation supersedes the others
 
-  Scenario: a caller that wanders over three VMs leaves one reader
+  Scenario: a caller that reconnects to three VMs has one reader
     Given readers at VMs a, b and c
-    When the generation is read at a, then by a's cursor at b and at c
-    Then only the reader at c is left
+    When the generation is read at a, then with a's cursor at b and at c
+    Then only the reader at c remains
--- a/tests/steps/requests_claim.py
+++ b/tests/steps/requests_claim.py
@@ -1,4 +1,4 @@
-"""Steps on the claims of keyed calls."""
+"""Steps for the claims of keyed calls."""
 
 import behave
 import msgspec
@@ -45,9 +45,9 @@
 
 
 _BROKEN = {
-    'takes over a claim whose owner is silent': _TakesOver,
-    'takes an absent row for proof of no claim': _TrustsAbsence,
-    'goes on after giving up': _GoesOn,
+    'takes over a claim whose owner does not respond': _TakesOver,
+    'treats an absent row as proof of no claim': _TrustsAbsence,
+    'continues after giving up': _GoesOn,
     'replaces a claim whose owner is gone': _ReplacesGone,
 }
 
@@ -58,18 +58,24 @@
     )
 
 
-@behave.then('{count:d} random histories of a keyed call keep every promise')
+@behave.then(
+    '{count:d} random histories of a keyed call satisfy all invariants'
+)
 def histories_hold(context, count):
     _run_histories(claims.Claim, count)
 
 
-@behave.then('random histories of a keyed call that {fault} are caught')
+@behave.then(
+    'random histories of a keyed call that {fault} violate an invariant'
+)
 def histories_catch(context, fault):
     try:
         _run_histories(_BROKEN[fault], 3_000)
     except AssertionError:
         return
-    raise LookupError(f'a keyed call that {fault} was not caught')
+    raise LookupError(
+        f'no invariant was violated by a keyed call that {fault}'
+    )
 
 
 def _begin(context):
@@ -97,7 +103,7 @@
     context.actions = context.claim.handle(messages.RowRead(row, 1), 0.0)
 
 
-@behave.given('a keyed call whose claim was committed without an answer')
+@behave.given('a keyed call whose claim was committed but its response lost')
 def given_lost(context):
     _begin(context)
     read = context.claim.handle(messages.WriteUnknown(), 0.0)
@@ -113,7 +119,7 @@
     assert again == []
 
 
-@behave.then('its outcome is stored over version {version:d}')
+@behave.then('its outcome replaces version {version:d} of the row')
 def stored_over(context, version):
     answer = plain_messages.Answer(200, 'text/plain', b'yes')
     end = plain_messages.EndCall(states.Outcome.DONE, 'ok', answer)
@@ -122,7 +128,7 @@
     assert stored.version == version
 
 
-@behave.given('a keyed call while the store is down')
+@behave.given('a keyed call while the store is unavailable')
 def given_down(context):
     _begin(context)
 
--- a/tests/steps/requests_forwarded_stream.py
+++ b/tests/steps/requests_forwarded_stream.py
@@ -1,4 +1,4 @@
-"""Steps on forwarded streams."""
+"""Steps for the state machine of forwarded streams."""
 
 import behave
 
@@ -32,7 +32,7 @@
     _start(context, True, None)
 
 
-@behave.given('events {first:d} to {last:d} have come')
+@behave.given('events {first:d} to {last:d} have been received')
 def events_came(context, first, last):
     context.simulation.handle(messages.HeadReceived(1, True))
     for index in range(first, last + 1):
@@ -41,13 +41,13 @@
         )
 
 
-@behave.when('the engine breaks off')
+@behave.when("the engine's connection breaks")
 def breaks_off(context):
     attempt = context.simulation.last(messages.Send).attempt
     context.simulation.handle(messages.AttemptBroken(attempt, True))
 
 
-@behave.when('the engine says that it did not run it')
+@behave.when('the engine confirms that it did not run it')
 def says_not_run(context):
     context.simulation.handle(messages.NotRun(1))
 
@@ -59,7 +59,7 @@
     )
 
 
-@behave.when('the new attempt is answered')
+@behave.when("the head of the new attempt's answer is received")
 def is_answered(context):
     attempt = context.simulation.last(messages.Send).attempt
     context.simulation.handle(messages.HeadReceived(attempt, True))
@@ -71,7 +71,7 @@
     context.simulation.handle(messages.NotRun(attempt))
 
 
-@behave.when('event {index:d} comes')
+@behave.when('event {index:d} is received')
 def event_comes(context, index):
     attempt = context.simulation.last(messages.Send).attempt
     context.simulation.handle(
@@ -79,40 +79,41 @@
     )
 
 
-@behave.when('e1 is about to leave and {span_ms:d} ms have passed')
+@behave.when('e1 announces that it is leaving and {span_ms:d} ms pass')
 def is_leaving(context, span_ms):
     told = context.simulation.handle(messages.UpstreamLeaving('e1'))
     told = told + context.simulation.wait(span_ms)
     context.simulation.latest = told
 
 
-@behave.when('{span_ms:d} ms have passed')
+@behave.when('{span_ms:d} ms pass without an event')
 def time_passes(context, span_ms):
     context.simulation.wait(span_ms)
 
 
-@behave.when('a copy named {handle} was made on {name}')
+@behave.when('a copy named {handle} is made on {name}')
 def copy_made(context, handle, name):
     target = stream_simulation.upstream(name)
     context.simulation.handle(messages.CopyEnded(target, handle))
 
 
 @behave.then(
-    'the stream is sent to {name} to go on after event {index:d} from its copy'
+    'the stream is sent to {name} to continue after event {index:d} from '
+    'its copy'
 )
 def goes_on(context, name, index):
     _check_send(context, name, index, f'{name}:1/q')
 
 
 @behave.then(
-    "the stream is sent to {name} to go on after event {index:d} from e1's "
+    "the stream is sent to {name} to continue after event {index:d} from e1's "
     'copy {handle}'
 )
 def goes_on_handle(context, name, index, handle):
     _check_send(context, name, index, f'e1:1/{handle}')
 
 
-@behave.then('the stream is sent to {name} to run anew after event {index:d}')
+@behave.then('the stream is sent to {name} to run again after event {index:d}')
 def runs_anew(context, name, index):
     _check_send(context, name, index, None)
 
@@ -137,29 +138,29 @@
     assert context.simulation.latest == [], context.simulation.latest
 
 
-@behave.then('the stream is broken off')
+@behave.then('the answer is aborted')
 def is_broken_off(context):
     assert isinstance(context.simulation.latest[-1], messages.AbortAnswer)
 
 
-@behave.then('the caller is told that the outcome is unknown')
+@behave.then('the outcome is reported as unknown')
 def is_unknown(context):
     end = context.simulation.latest[-1]
     assert isinstance(end, messages.Fail), end
     assert end.outcome is states.Outcome.UNKNOWN, end
 
 
-@behave.then('another engine than {name} is wanted')
+@behave.then('an engine other than {name} is requested')
 def another_wanted(context, name):
     assert context.simulation.latest == [messages.Place(frozenset([name]))]
 
 
-@behave.then('a place for a copy is wanted')
+@behave.then('an upstream for a copy is requested')
 def copy_wanted(context):
     assert isinstance(context.simulation.latest[-1], messages.PlaceCopy)
 
 
-@behave.then('the first attempt still runs')
+@behave.then('the first attempt is not cancelled yet')
 def first_runs(context):
     assert messages.Cancel(1) not in context.simulation.actions
 
@@ -169,7 +170,7 @@
     assert messages.Cancel(1) in context.simulation.latest
 
 
-@behave.then('{count:d} random histories of streams keep these promises')
+@behave.then('{count:d} random histories of streams satisfy these invariants')
 def histories_hold(context, count):
     for seed in range(count):
         try:
@@ -184,6 +185,6 @@
     context.simulation.handle(messages.AttemptBroken(attempt, False))
 
 
-@behave.then('the stream is sent to {name} to run anew from its start')
+@behave.then('the stream is sent to {name} to run again from the start')
 def runs_from_start(context, name):
     _check_send(context, name, None, None)
--- a/tests/steps/requests_generation.py
+++ b/tests/steps/requests_generation.py
@@ -1,4 +1,4 @@
-"""Steps on the state machine of a generation request."""
+"""Steps for the state machine of a generation request."""
 
 import behave
 
@@ -38,9 +38,9 @@
 
 _BROKEN = {
     'retries after its first delivered token': _RetriesLate,
-    'takes tokens of other generations': _Mixes,
-    'takes tokens whatever their index': _SkipsIndexes,
-    'says not_run whatever was sent': _ClaimsNotRun,
+    'accepts tokens of other generations': _Mixes,
+    'accepts tokens with any index': _SkipsIndexes,
+    'reports not_run whatever was sent': _ClaimsNotRun,
 }
 
 
@@ -53,18 +53,24 @@
     )
 
 
-@behave.then('{count:d} random histories of a generation keep every promise')
+@behave.then(
+    '{count:d} random histories of a generation satisfy all invariants'
+)
 def histories_hold(context, count):
     _run_histories(generations.Generation, count)
 
 
-@behave.then('random histories of a generation that {fault} are caught')
+@behave.then(
+    'random histories of a generation that {fault} violate an invariant'
+)
 def histories_catch(context, fault):
     try:
         _run_histories(_BROKEN[fault], 1_000)
     except AssertionError:
         return
-    raise LookupError(f'a generation that {fault} was not caught')
+    raise LookupError(
+        f'no invariant was violated by a generation that {fault}'
+    )
 
 
 def _token(index, last=False):
@@ -117,12 +123,14 @@
     _start(context, True, count)
 
 
-@behave.given('a whole generation that has received {count:d} tokens')
+@behave.given(
+    'a generation that is not streamed and has received {count:d} tokens'
+)
 def given_whole(context, count):
     _start(context, False, count)
 
 
-@behave.given('a reader that resumes behind the last of {count:d} tokens')
+@behave.given('a reader that resumes after the last of {count:d} tokens')
 def given_resumed(context, count):
     context.now_ms = 0.0
     context.seen = []
@@ -135,7 +143,7 @@
     )
 
 
-@behave.when('the engine ends the stream and says done at {produced:d}')
+@behave.when('the engine ends the stream and reports done at {produced:d}')
 def ends_stream(context, produced):
     connection = context.machine.connection
     _tell(context, messages.StreamAccepted(connection))
@@ -151,21 +159,21 @@
 
 
 @behave.when(
-    'its connection is silent and the engine says preempted at {count:d}'
+    'its connection is silent and the engine reports preempted at {count:d}'
 )
 def silent_preempted(context, count):
     _silence(context, states.GenerationState.PREEMPTED, count)
 
 
 @behave.when(
-    'its connection is silent and each probe says running at {count:d}'
+    'its connection is silent and each probe reports running at {count:d}'
 )
 def silent_stalled(context, count):
     while context.machine.outcome is None:
         _silence(context, _RUNNING, count)
 
 
-@behave.when('its connections close until another upstream is wanted')
+@behave.when('its connections close until another upstream is requested')
 def connections_close(context):
     for _ in range(10):
         connection = context.machine.connection
@@ -177,13 +185,13 @@
             _tick(context)
 
 
-@behave.when('its engine forgets the generation')
+@behave.when('its engine no longer knows the generation')
 def engine_forgets(context):
     _tick(context)
     _tell(context, messages.StatusMissing(context.machine.probe))
 
 
-@behave.when('its caller leaves')
+@behave.when('its caller disconnects')
 def caller_leaves(context):
     _tell(context, messages.CallerGone())
 
@@ -193,13 +201,13 @@
     _tell(context, messages.ReaderSuperseded())
 
 
-@behave.when('it ends by its deadline')
+@behave.when('its deadline passes')
 def ends_by_deadline(context):
     context.now_ms = 90_000.0
     _tell(context, messages.Tick())
 
 
-@behave.then('it resumes from index {index:d} by another connection')
+@behave.then('it resumes from index {index:d} on another connection')
 def resumes(context, index):
     closed, resumed = context.actions
     assert closed == messages.CloseStream(1), closed
@@ -241,7 +249,7 @@
     assert context.machine.probes_sent < count
 
 
-@behave.then('the old generation is cancelled and the outcome is still open')
+@behave.then('the old generation is cancelled and the request has not ended')
 def cancelled_open(context):
     cancel, place = context.actions
     assert isinstance(cancel, messages.CancelGeneration), cancel
@@ -249,7 +257,9 @@
     assert context.machine.outcome is None
 
 
-@behave.then('the held tokens are discarded and another upstream is wanted')
+@behave.then(
+    'the buffered tokens are discarded and another upstream is requested'
+)
 def discarded(context):
     kinds = [type(action) for action in context.actions]
     assert kinds == [
@@ -261,7 +271,9 @@
     assert context.machine.progress.discarded == 3
 
 
-@behave.then('the generation is cancelled after a grace of {grace_ms:d} ms')
+@behave.then(
+    'the generation is cancelled after a grace period of {grace_ms:d} ms'
+)
 def cancelled_after(context, grace_ms):
     cancels = [
         a for a in context.seen if isinstance(a, messages.CancelGeneration)
@@ -275,7 +287,7 @@
     assert kinds == [messages.CloseStream, messages.EndRequest], kinds
 
 
-@behave.then('the parts of its time add up to the whole')
+@behave.then('the parts of its time sum to the total')
 def adds_up(context):
     line = context.machine.progress.timeline
     assert line.total_ms() == 90_000.0
--- a/tests/steps/requests_plain_call.py
+++ b/tests/steps/requests_plain_call.py
@@ -1,4 +1,4 @@
-"""Steps on calls to plain services."""
+"""Steps for calls to plain services."""
 
 import random
 
@@ -34,7 +34,7 @@
 
 @behave.when('its attempt fails and {what}')
 def attempt_fails(context, what):
-    left = what == 'bytes have left'
+    left = what == 'bytes were sent'
     _tell(context, messages.AttemptFailed(1, left))
 
 
@@ -72,7 +72,7 @@
     assert context.actions == [messages.Place(ids.UpstreamId('p1'))]
 
 
-@behave.then('the plain call wants another upstream')
+@behave.then('the plain call requests another upstream')
 def wants_another(context):
     assert context.actions == [messages.Place(ids.UpstreamId('p1'))]
 
@@ -101,7 +101,7 @@
     assert runs[0] != runs[1]
 
 
-@behave.then('an answer with the status {status:d} stands for {outcome}')
+@behave.then('an answer with the status {status:d} indicates {outcome}')
 def stands_for(context, status, outcome):
     answer = messages.Answer(status, 'text/plain', b'')
     assert plain_call.outcome_of(answer).value == outcome
--- a/tests/steps/requests_streams.py
+++ b/tests/steps/requests_streams.py
@@ -1,4 +1,4 @@
-"""Steps on cursors, cancellations and readers of generations."""
+"""Steps for cursors, cancellations and readers of generations."""
 
 import behave
 import result
@@ -50,19 +50,19 @@
         ), answer
 
 
-@behave.then('it is refused by VMs with the cursor keys "{names}"')
+@behave.then('it is rejected by VMs with the cursor keys "{names}"')
 def refused(context, names):
     answer = _codec(_long(names)).decode(context.cursor, _ACCOUNT)
     assert answer.is_err()
 
 
-@behave.then('it is refused for another client account')
+@behave.then('it is rejected for another client account')
 def refused_account(context):
     other = ids.ClientAccountId('sand-resort')
     assert context.codec.decode(context.cursor, other).is_err()
 
 
-@behave.then('no cursor with one character changed gives another origin')
+@behave.then('no cursor with one character changed yields another origin')
 def changed_refused(context):
     for place in range(len(context.cursor)):
         for change in _CHANGES:
@@ -73,7 +73,9 @@
                     assert position.origin == context.origin, text
 
 
-@behave.given('a generation to be cancelled after a grace of {grace_ms:d} ms')
+@behave.given(
+    'a generation to be cancelled after a grace period of {grace_ms:d} ms'
+)
 def given_cancellation(context, grace_ms):
     context.cancellations = cancellation.Cancellations()
     context.cancellations.schedule(
@@ -87,13 +89,13 @@
     assert context.cancellations.withdraw(_GENERATION)
 
 
-@behave.when('its engine leaves the list of upstreams')
+@behave.when('its engine is removed from the list of upstreams')
 def engine_leaves(context):
     gone = context.cancellations.remove_missing_upstreams({'e2': None})
     assert gone == [_GENERATION]
 
 
-@behave.then('the engine is first asked after {grace_ms:d} ms')
+@behave.then('the first cancellation request is due after {grace_ms:d} ms')
 def first_asked(context, grace_ms):
     assert not context.cancellations.pop_due(grace_ms - 1)
     (due,) = context.cancellations.pop_due(grace_ms)
@@ -101,7 +103,7 @@
     assert not context.cancellations.withdraw(_GENERATION)
 
 
-@behave.then('it is asked again until it confirms')
+@behave.then('the request is repeated until the engine confirms it')
 def asked_again(context):
     times = [
         now_ms
@@ -113,7 +115,7 @@
     assert not context.cancellations.pop_due(1e9)
 
 
-@behave.then('the engine is never asked to cancel it')
+@behave.then('no cancellation request is sent')
 def never_asked(context):
     assert not context.cancellations.pop_due(1e9)
 
@@ -123,7 +125,7 @@
     context.readers = {name: readers.ReaderRegistry() for name in 'abc'}
 
 
-@behave.when("the generation is read at a, then by a's cursor at b and at c")
+@behave.when("the generation is read at a, then with a's cursor at b and at c")
 def read_thrice(context):
     for vm in 'abc':
         context.readers[vm].register(_GENERATION)
@@ -135,7 +137,7 @@
             told = taken.forward_to
 
 
-@behave.then('only the reader at c is left')
+@behave.then('only the reader at c remains')
 def only_c(context):
     left = [vm for vm in 'abc' if context.readers[vm].active]
     assert left == ['c'], left
--- a/tests/stream_simulation.py
+++ b/tests/stream_simulation.py
@@ -1,4 +1,4 @@
-"""Histories of a forwarded stream, played without a network."""
+"""Random histories of a forwarded stream, simulated without a network."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 
 def upstream(name: str) -> kernel_events.UpstreamInfo:
-    """Return an engine of that name."""
+    """Return an engine with the given name."""
     return kernel_events.UpstreamInfo(
         upstream=ids.UpstreamId(name),
         service=ids.ServiceName('s'),
@@ -28,11 +28,11 @@
 
 
 class StreamSimulation:
-    """One stream and what it has actions so far.
+    """A stream and the actions that it has returned.
 
     Attributes:
-        actions: All actions, in order.
-        latest: Those of the latest event.
+        actions: All actions in order.
+        latest: Actions returned for the latest event.
     """
 
     def __init__(self, resumable: bool, seed: int = 1) -> None:
@@ -53,13 +53,13 @@
         self.latest: list[messages.Action] = []
 
     def handle(self, event: messages.Event) -> list[messages.Action]:
-        """Tell the stream of an event."""
+        """Pass an event to the stream and record its actions."""
         self.latest = self.stream.handle(event, self.now_ms)
         self.actions += self.latest
         return self.latest
 
     def wait(self, span_ms: float) -> list[messages.Action]:
-        """Let time pass; ticks come when they are due."""
+        """Advance the time and send ticks when they are due."""
         end_ms = self.now_ms + span_ms
         actions = []
         while self.stream.wake_ms() <= end_ms:
@@ -77,7 +77,7 @@
         return any(isinstance(action, _ENDS) for action in self.actions)
 
     def last(self, kind: type) -> messages.Action:
-        """Return the last action of a class."""
+        """Return the last action of the given class."""
         return [a for a in self.actions if isinstance(a, kind)][-1]
 
 
@@ -85,9 +85,10 @@
     """One random history of a stream.
 
     Attributes:
-        sent: What each attempt was sent with.
-        live: Attempts that may still be heard of.
-        started: Attempts without a memory to go on from that may have run.
+        sent: ``Send`` action of each attempt.
+        live: Attempts that may still cause events.
+        started: Attempts that may have run and that were not continued
+            from a copy of a run's memory.
     """
 
     def __init__(self, seed: int) -> None:
@@ -101,10 +102,10 @@
         self.requested: messages.Action | None = None
 
     def play(self) -> None:
-        """Play it to its end.
+        """Simulate the history to its end.
 
         Raises:
-            AssertionError: If a promise is broken.
+            AssertionError: If an invariant is violated.
         """
         self.handle(messages.Placed(upstream('e0')))
         for _ in range(STEPS):
@@ -118,12 +119,12 @@
         self.check()
 
     def handle(self, event: messages.Event) -> None:
-        """Tell the stream of an event and take in what it wants."""
+        """Pass an event to the stream and record its actions."""
         assert not self.simulation.is_over
         self.record(self.simulation.handle(event))
 
     def record(self, actions: list[messages.Action]) -> None:
-        """Take in actions."""
+        """Record actions of the stream."""
         for action in actions:
             match action:
                 case messages.Send():
@@ -136,7 +137,7 @@
                     self.requested = action
 
     def record_send(self, send: messages.Send) -> None:
-        """Take in an attempt."""
+        """Record a new attempt, with or without a copy elsewhere."""
         self.sent[send.attempt] = send
         self.produced[send.attempt] = send.last_event or 0
         self.live.add(send.attempt)
@@ -150,7 +151,7 @@
         )
 
     def answer(self) -> None:
-        """Answer what the stream has requested for."""
+        """Answer the pending request of the stream."""
         requested, self.requested = self.requested, None
         good = self.generator.random() < 0.8
         if not isinstance(requested, messages.Place):
@@ -163,7 +164,7 @@
             self.handle(messages.Refused(reason, 1.0))
 
     def step(self) -> None:
-        """Let something happen."""
+        """Generate one random event."""
         choice = self.generator.random()
         if choice < 0.25 or not self.live:
             span_ms = self.generator.choice([5.0, 50.0, 400.0, 1_500.0])
@@ -195,7 +196,7 @@
             self.handle(messages.AnswerCompleted(attempt))
 
     def produce(self, attempt: int) -> None:
-        """Let an attempt produce its next event, or a wrong one."""
+        """Have an attempt send its next event, or one with a wrong index."""
         self.produced[attempt] += 1
         index = self.produced[attempt]
         if self.generator.random() < 0.05:
@@ -205,7 +206,7 @@
         )
 
     def check_time(self) -> None:
-        """Check that no time-out is due that can do nothing."""
+        """Check that no timeout is due that would have no effect."""
         if self.simulation.is_over or self.requested is not None:
             return
         actions = self.simulation.handle(messages.Tick())
@@ -214,7 +215,7 @@
             assert self.simulation.stream.wake_ms() > self.simulation.now_ms
 
     def check(self) -> None:
-        """Check what holds at the end."""
+        """Check the invariants at the end of the history."""
         actions = self.simulation.actions
         ends = [action for action in actions if isinstance(action, _ENDS)]
         assert len(ends) <= 1, ends
@@ -226,7 +227,7 @@
             for action in actions
             if isinstance(action, messages.Forward)
         ]
-        # A stream may begin at any id; from there none may be missing.
+        # A stream may start at any id; after that, none may be missing.
         assert forwarded == list(range(*_expected_range(forwarded))), forwarded
         if not self.simulation.rules.resumable:
             assert len(self.started) <= 1, self.started
@@ -253,9 +254,9 @@
 
 
 def play_history(seed: int) -> None:
-    """Play the random history of a seed.
+    """Simulate the random history of a seed.
 
     Raises:
-        AssertionError: If a promise is broken.
+        AssertionError: If an invariant is violated.
     """
     History(seed).play()
