--- a/eelgrassknot/kernel/node.py
+++ b/eelgrassknot/kernel/node.py
@@ -1,4 +1,4 @@
-"""What the parts of one daemon share."""
+"""State shared by the parts of a daemon."""
 
 import concurrent.futures
 import dataclasses
@@ -21,14 +21,14 @@
 
 @dataclasses.dataclass
 class Node:
-    """Shared state of the parts of one daemon.
+    """State shared by the parts of one daemon.
 
     Attributes:
-        incarnation: Names this run of the process; never used again.
-        executor: Runs short blocking work of the parts.
-        text: Services text in force, or None before the first.
-        text_version: Version of that text, 0 before the first.
-        part_set: The parts, once they are created.
+        incarnation: Unique identifier of this run of the process.
+        executor: Executor for short blocking operations of the parts.
+        text: Services configuration in effect, or None before the first.
+        text_version: Version of the configuration, 0 before the first.
+        part_set: The parts, or None until they are created.
     """
 
     settings: vm_settings.VmSettings
--- a/tests/kernel/hub.feature
+++ b/tests/kernel/hub.feature
@@ -1,11 +1,11 @@
-Feature: Delivery of events to the parts that subscribed
+Feature: Delivery of events to subscribers
 
-  Scenario: an error in one handler keeps the event from no other
-    Given three handlers of which the second fails
+  Scenario: an exception in one handler does not affect the others
+    Given three handlers of which the second raises an exception
     When an event is published
-    Then the first and the third have it
+    Then the first and the third handler receive it
 
-  Scenario: all parts are bound before the first one is started
-    Given a set of two parts, of which one publishes as it starts
-    When the set of parts is started
-    Then the other part had been bound when the event came
+  Scenario: all parts are bound before the first part is started
+    Given a set of two parts of which one publishes an event as it starts
+    When the set of parts starts
+    Then the other part was bound when the event was published
--- a/tests/kernel/work_loop.feature
+++ b/tests/kernel/work_loop.feature
@@ -1,11 +1,11 @@
-Feature: A thread that rests while it has no work
+Feature: A work loop polls rarely while it has no work
 
-  Scenario: work that is added is done, call by call, until there is none
-    Given a loop whose work takes 3 calls
-    When work is added
-    Then the loop is called 3 times and rests
+  Scenario: the loop is called until all added work is done
+    Given a work loop whose work takes 3 calls
+    When work is added to the loop
+    Then the loop makes 3 calls and then none
 
-  Scenario: an error in one call does not end the loop
-    Given a loop whose first call fails
-    When work is added
-    Then the loop is called again
+  Scenario: an exception in one call does not end the loop
+    Given a work loop whose first call fails
+    When work is added to the loop
+    Then the loop makes another call
--- a/tests/steps/kernel_hub.py
+++ b/tests/steps/kernel_hub.py
@@ -1,4 +1,4 @@
-"""Steps on the delivery of events and the start of parts."""
+"""Steps for event delivery and binding of parts."""
 
 import types
 
@@ -9,7 +9,7 @@
 
 
 class _Event:
-    """An event without contents."""
+    """An event without data."""
 
 
 class _Early(parts.Part):
@@ -37,7 +37,7 @@
     raise RuntimeError('this handler fails')
 
 
-@behave.given('three handlers of which the second fails')
+@behave.given('three handlers of which the second raises an exception')
 def given_handlers(context):
     context.hub = hubs.Hub()
     context.had = []
@@ -51,12 +51,14 @@
     context.hub.publish(_Event())
 
 
-@behave.then('the first and the third have it')
+@behave.then('the first and the third handler receive it')
 def have_it(context):
     assert context.had == ['first', 'third'], context.had
 
 
-@behave.given('a set of two parts, of which one publishes as it starts')
+@behave.given(
+    'a set of two parts of which one publishes an event as it starts'
+)
 def given_parts(context):
     node = types.SimpleNamespace(hub=hubs.Hub())
     context.set = parts.PartSet(
@@ -68,11 +70,11 @@
     )
 
 
-@behave.when('the set of parts is started')
+@behave.when('the set of parts starts')
 def start(context):
     context.set.start()
 
 
-@behave.then('the other part had been bound when the event came')
+@behave.then('the other part was bound when the event was published')
 def was_bound(context):
     assert context.set.parts['late'].bound_at_event is True
--- a/tests/steps/kernel_parts.py
+++ b/tests/steps/kernel_parts.py
@@ -1,4 +1,4 @@
-"""Steps on the order of a daemon's parts."""
+"""Steps for the start order of daemon parts."""
 
 import re
 
@@ -23,7 +23,7 @@
     assert order == names.split(), order
 
 
-@behave.then('ordering them fails naming the remedy "{remedy}"')
+@behave.then('ordering them fails with the remedy "{remedy}"')
 def ordering_fails(context, remedy):
     try:
         parts.start_order(context.entries)
--- a/tests/steps/kernel_work_loop.py
+++ b/tests/steps/kernel_work_loop.py
@@ -1,4 +1,4 @@
-"""Steps on the loop that rests while it has no work."""
+"""Steps for the work loop."""
 
 import threading
 
@@ -34,28 +34,28 @@
     context.loop.start()
 
 
-@behave.given('a loop whose work takes {count:d} calls')
+@behave.given('a work loop whose work takes {count:d} calls')
 def given_work(context, count):
     _start(context, _Work(count))
 
 
-@behave.given('a loop whose first call fails')
+@behave.given('a work loop whose first call fails')
 def given_failing(context):
     _start(context, _Work(1, fail_first=True))
 
 
-@behave.when('work is added')
+@behave.when('work is added to the loop')
 def add(context):
     context.loop.wake()
 
 
-@behave.then('the loop is called {count:d} times and rests')
+@behave.then('the loop makes {count:d} calls and then none')
 def called(context, count):
     assert context.work.done.wait(LIMIT_S)
     context.loop.stop()
     assert context.work.calls == count
 
 
-@behave.then('the loop is called again')
+@behave.then('the loop makes another call')
 def called_again(context):
     assert context.work.done.wait(LIMIT_S)
