--- a/eelgrassknot/requests/stream_messages.py
+++ b/eelgrassknot/requests/stream_messages.py
@@ -1,4 +1,4 @@
-"""Events that a forwarded stream is told and actions that it returns."""
+"""Events handled and actions returned by a forwarded stream."""
 
 import dataclasses
 
@@ -7,23 +7,23 @@
 
 __all__ = [
     'Action',
-    'BreakOff',
-    'Broken',
+    'AbortAnswer',
+    'AttemptBroken',
     'Cancel',
     'CopyPlaced',
-    'Ended',
+    'AnswerCompleted',
     'Event',
     'Fail',
     'Finish',
     'Forward',
-    'Headed',
-    'Move',
-    'MoveEnded',
+    'HeadReceived',
+    'CopyMemory',
+    'CopyEnded',
     'NotRun',
     'Place',
-    'PlaceMove',
+    'PlaceCopy',
     'Placed',
-    'Received',
+    'EventReceived',
     'Refused',
     'Send',
     'StartAnswer',
@@ -37,13 +37,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class StreamRules:
-    """What may be done with a stream.
+    """Recovery options of a stream.
 
     Attributes:
-        resumable: Whether a new run may go on after the last event.
-        max_attempts: Upstreams that may run it.
-        can_copy: Whether its run can have a growing copy elsewhere.
-        can_move: Whether its run can be moved on request.
+        resumable: Whether a new run may continue after the last event.
+        max_attempts: Maximum number of upstreams that may run it.
+        can_copy: Whether its engine can maintain a copy of the run's
+            memory on another engine.
+        can_move: Whether its engine can copy the run's memory on request.
     """
 
     resumable: bool
@@ -61,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CopyPlaced:
-    """The dispatcher chose who keeps the copy of an attempt's run."""
+    """The dispatcher chose an upstream to hold the copy of a run."""
 
     attempt: int
     upstream: UpstreamInfo | None
@@ -76,11 +77,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Headed:
-    """The head of an attempt's answer has come.
+class HeadReceived:
+    """The head of an attempt's answer was received.
 
     Attributes:
-        accepted: Whether it is a genuine success.
+        accepted: Whether it is a success response to this request.
     """
 
     attempt: int
@@ -88,11 +89,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Received:
-    """A whole event of an attempt's stream has come.
+class EventReceived:
+    """A complete event of an attempt's stream was received.
 
     Attributes:
-        index: The event's id, or None if it has none.
+        index: Numeric id of the event, or None if it has none.
     """
 
     attempt: int
@@ -101,41 +102,45 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
+class AnswerCompleted:
     """An attempt's answer is complete."""
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Broken:
-    """An attempt ended without a complete answer."""
+class AttemptBroken:
+    """An attempt ended without a complete answer.
+
+    Attributes:
+        may_have_sent: Whether any byte of the request may have been sent.
+    """
 
     attempt: int
-    bytes_left: bool
+    may_have_sent: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """The upstream promised that it did not and will not run an attempt."""
+    """The upstream confirmed that an attempt was not and will not be run."""
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamLeaving:
-    """An upstream is about to leave, or has left."""
+    """An upstream is leaving or has left the deployment."""
 
     upstream: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class MoveEnded:
-    """A move of the run's memory has ended.
+class CopyEnded:
+    """A requested copy of the run's memory has finished or failed.
 
     Attributes:
-        target: Where the memory was to go, or None if nowhere has room.
-        handle: Names the copy there, or None if there is none.
+        target: Upstream to hold the copy, or None if none has room.
+        handle: Name of the copy on the target, or None if it failed.
     """
 
     target: UpstreamInfo | None
@@ -151,35 +156,35 @@
     Placed
     | CopyPlaced
     | Refused
-    | Headed
-    | Received
-    | Ended
-    | Broken
+    | HeadReceived
+    | EventReceived
+    | AnswerCompleted
+    | AttemptBroken
     | NotRun
     | UpstreamLeaving
-    | MoveEnded
+    | CopyEnded
     | Tick
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """Have the dispatcher choose an upstream.
+    """Request an upstream from the dispatcher.
 
     Attributes:
-        failed: Upstreams that it must not choose.
+        failed: Upstreams that must not be chosen.
     """
 
     failed: frozenset[str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PlaceMove:
-    """Have the dispatcher choose where the run's memory can be copied.
+class PlaceCopy:
+    """Request an upstream to hold a copy of the run's memory.
 
     Attributes:
         refused: Upstreams that had no room for it.
-        must_fit: Whether only an upstream with room will do.
+        must_fit: Whether the upstream must have room for the copy.
     """
 
     source: UpstreamInfo
@@ -192,10 +197,11 @@
     """Send the request to an upstream.
 
     Attributes:
-        continue_from: ``IP:port/name`` of the memory to go on from.
-        last_event: Event after which it goes on, or None.
-        wants_copy: Whether a copy of the run is to grow elsewhere.
-        is_repeat: Whether the retry budget pays for it.
+        continue_from: ``IP:port/name`` of the memory copy to continue
+            from, or None for a new run.
+        last_event: Event after which to continue, or None.
+        wants_copy: Whether to maintain a copy on another engine.
+        is_repeat: Whether it counts against the retry budget.
     """
 
     attempt: int
@@ -214,8 +220,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Move:
-    """Have the source copy what is new of the run's memory to a target."""
+class CopyMemory:
+    """Have the source copy new parts of the run's memory to a target."""
 
     source: UpstreamInfo
     target: UpstreamInfo
@@ -223,14 +229,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartAnswer:
-    """Pass the head of an attempt's answer on to the caller."""
+    """Forward the head of an attempt's answer to the caller."""
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Forward:
-    """Pass an event on to the caller."""
+    """Forward an event to the caller."""
 
     data: bytes
 
@@ -241,15 +247,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BreakOff:
-    """End the caller's answer visibly incomplete."""
+class AbortAnswer:
+    """Abort the caller's answer so that it is visibly incomplete."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fail:
-    """Tell the caller that there is no answer.
+    """Report to the caller that there is no answer.
 
     Attributes:
         outcome: Whether the request may have run.
@@ -262,13 +268,13 @@
 
 Action = (
     Place
-    | PlaceMove
+    | PlaceCopy
     | Send
     | Cancel
-    | Move
+    | CopyMemory
     | StartAnswer
     | Forward
     | Finish
-    | BreakOff
+    | AbortAnswer
     | Fail
 )
