--- a/benchmarks/relay/node.py
+++ b/benchmarks/relay/node.py
@@ -54,7 +54,7 @@
     def end(self) -> None:
         """End all processes."""
         for child in self.children:
-            child.end()
+            child.kill()
 
     def _start(self) -> None:
         self.platform = self._standin('standins.platform')
--- a/eelgrassknot/cli/commands/audit.py
+++ b/eelgrassknot/cli/commands/audit.py
@@ -35,8 +35,10 @@
     as_json: console.JsonOption = False,
 ) -> None:
     """List the changes of the system, the earliest first."""
-    wanted = _filter(since, until, author, service)
-    _print_records(_read(console.platform(context).table, wanted), as_json)
+    audit_filter = _filter(since, until, author, service)
+    _print_records(
+        _read(console.platform(context).table, audit_filter), as_json
+    )
 
 
 def _filter(
@@ -50,9 +52,9 @@
 
 
 def _read(
-    table: base.Table, wanted: audit_reader.AuditFilter
+    table: base.Table, audit_filter: audit_reader.AuditFilter
 ) -> list[rows.AuditRecord]:
-    match audit_reader.read_records(table, wanted):
+    match audit_reader.read_records(table, audit_filter):
         case result.Err(error):
             console.fail(error)
         case result.Ok(found):
--- a/eelgrassknot/cli/commands/report.py
+++ b/eelgrassknot/cli/commands/report.py
@@ -56,10 +56,10 @@
 ) -> None:
     """Merge what all VMs wrote in a range of time into one report."""
     chosen = _format(as_json, csv, html)
-    wanted = _filter(since, until, service, client_account)
+    report_filter = _filter(since, until, service, client_account)
     platform = console.platform(context)
     read = reader.read_report(
-        platform.objects, wanted, _entry_vms(platform.vms)
+        platform.objects, report_filter, _entry_vms(platform.vms)
     )
     match read:
         case result.Err(error):
--- a/eelgrassknot/reporting/reader.py
+++ b/eelgrassknot/reporting/reader.py
@@ -23,7 +23,7 @@
 
 def read_report(
     objects: storage_base.ObjectStore,
-    wanted: messages.ReportFilter,
+    report_filter: messages.ReportFilter,
     expected_vms: collections.abc.Iterable[ids.VmId] = (),
 ) -> result.Result[messages.Report, storage_base.PlatformError]:
     """Return the report on a time range.
@@ -33,14 +33,14 @@
         wanted: Scope of the report.
         expected_vms: Entry VMs currently listed by the platform.
     """
-    match _list_names(objects, wanted):
+    match _list_names(objects, report_filter):
         case result.Err(error):
             return result.Err(error)
         case result.Ok(names):
             found = coverage.drop_contained(names)
-    merger = merge.Merger(wanted)
+    merger = merge.Merger(report_filter)
     unreadable = []
-    needed = [name for name in found if coverage.overlaps(name, wanted)]
+    needed = [name for name in found if coverage.overlaps(name, report_filter)]
     with concurrent.futures.ThreadPoolExecutor(FETCH_THREADS) as executor:
         bodies = executor.map(lambda name: objects.get(name.key), needed)
         for name, body in zip(needed, bodies):
@@ -49,7 +49,7 @@
                 unreadable.append(name.key)
             else:
                 merger.add(part)
-    missing = coverage.find_missing(found, wanted, expected_vms)
+    missing = coverage.find_missing(found, report_filter, expected_vms)
     return result.Ok(merger.report(missing, unreadable))
 
 
@@ -86,13 +86,13 @@
 
 
 def _list_names(
-    objects: storage_base.ObjectStore, wanted: messages.ReportFilter
+    objects: storage_base.ObjectStore, report_filter: messages.ReportFilter
 ) -> result.Result[list[object_names.ObjectName], storage_base.PlatformError]:
     # A part that was coalesced during a store outage may have started
     # long before the time range.
     lookback_ms = LOOKBACK_HOURS * object_names.MS_PER_HOUR
     prefixes = object_names.hour_prefixes(
-        wanted.since_ms - lookback_ms, wanted.until_ms
+        report_filter.since_ms - lookback_ms, report_filter.until_ms
     )
     return _list_prefixes(objects, prefixes)
 
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -10,7 +10,7 @@
 from standins import plain_caller
 from standins import stream_caller
 
-__all__ = ['Callers', 'EntryPoint', 'Mix']
+__all__ = ['Callers', 'EntryPoint', 'Workload']
 
 
 @dataclasses.dataclass(frozen=True)
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Mix:
+class Workload:
     """What the callers ask for.
 
     Attributes:
@@ -44,10 +44,10 @@
     booking: str
     keys: tuple[str, ...]
     mean_tokens: int = 60
-    pause_s: float = 0.2
-    patience_s: float = 20.0
-    whole_share: float = 0.0
-    left_share: float = 0.0
+    mean_pause_s: float = 0.2
+    resume_timeout_s: float = 20.0
+    unstreamed_share: float = 0.0
+    abandoned_share: float = 0.0
 
 
 class Callers:
@@ -60,9 +60,9 @@
     """
 
     def __init__(
-        self, mix: Mix, entry_points: list[EntryPoint], seed: int
+        self, workload: Workload, entry_points: list[EntryPoint], seed: int
     ) -> None:
-        self.mix = mix
+        self.workload = workload
         self.entry_points = list(entry_points)
         self.seed = seed
         self.clock = clocks.MonotonicClock()
@@ -73,8 +73,8 @@
 
     def start(self, streams: int, calls: int) -> None:
         """Start callers of streams and callers of plain calls."""
-        kinds = [('s', self._ask_stream)] * streams
-        kinds += [('c', self._ask_plain)] * calls
+        kinds = [('s', self._run_stream)] * streams
+        kinds += [('c', self._run_plain)] * calls
         for number, (letter, ask) in enumerate(kinds):
             name = f'{letter}{self.seed}-{number}'
             thread = threading.Thread(
@@ -93,7 +93,7 @@
         """Tell the balancer which entry VMs are ready."""
         self.entry_points = list(entry_points)
 
-    def choose(self, generator: random.Random) -> EntryPoint:
+    def choose_entry_point(self, generator: random.Random) -> EntryPoint:
         """Return where the balancer sends a connection."""
         return generator.choice(self.entry_points)
 
@@ -107,25 +107,30 @@
         while not self.stopped.is_set():
             number += 1
             ask(f'{name}-{number}', generator)
-            pause_s = generator.expovariate(1 / self.mix.pause_s)
+            pause_s = generator.expovariate(1 / self.workload.mean_pause_s)
             self.stopped.wait(pause_s)
 
-    def _ask_stream(self, name: str, generator: random.Random) -> None:
-        wanted = 1 + round(generator.expovariate(1 / self.mix.mean_tokens))
+    def _run_stream(self, name: str, generator: random.Random) -> None:
+        wanted = 1 + round(
+            generator.expovariate(1 / self.workload.mean_tokens)
+        )
         record = stream_caller.new_record(name, wanted, self.clock.now_ms())
         self.streams.append(record)
         stream = stream_caller.Stream(self, record, generator)
-        bearer = generator.choice(self.mix.keys)
+        bearer = generator.choice(self.workload.keys)
         draw = generator.random()
-        if draw < self.mix.whole_share:
-            stream.run_whole(bearer)
-        elif draw < self.mix.whole_share + self.mix.left_share:
-            stream.leave_after = generator.randint(1, wanted)
+        if draw < self.workload.unstreamed_share:
+            stream.run_unstreamed(bearer)
+        elif (
+            draw
+            < self.workload.unstreamed_share + self.workload.abandoned_share
+        ):
+            stream.abandon_after = generator.randint(1, wanted)
             stream.run(bearer)
         else:
             stream.run(bearer)
         record.ended_ms = self.clock.now_ms()
 
-    def _ask_plain(self, name: str, generator: random.Random) -> None:
+    def _run_plain(self, name: str, generator: random.Random) -> None:
         caller = plain_caller.PlainCaller(self, name, generator)
-        caller.run(generator.choice(self.mix.keys))
+        caller.run(generator.choice(self.workload.keys))
--- a/standins/checkers.py
+++ b/standins/checkers.py
@@ -14,7 +14,7 @@
 __all__ = ['CHECKERS', 'TIMED_CHECKERS', 'Violation', 'check']
 
 LEAVING_GRACE_MS = 5_000.0
-CONFIG_SPREAD_MS = 13_000.0
+CONFIG_PROPAGATION_MS = 13_000.0
 # These compare with a bound on the wall clock, which a busy machine can
 # break: timed runs count them, repeated ones leave them out.
 TIMED_CHECKERS = frozenset({'config_spreads', 'leavers_get_nothing_new'})
@@ -58,7 +58,7 @@
 @_checker('tokens_once_in_order')
 def _tokens_once_in_order(history):
     for stream in history.streams:
-        indexes = [_parts(t.text)[2] for t in stream.tokens]
+        indexes = [_parse_token(t.text)[2] for t in stream.tokens]
         if indexes != list(range(len(indexes))):
             place = _first_difference(indexes)
             around = indexes[max(0, place - 2) : place + 3]
@@ -68,7 +68,7 @@
 @_checker('one_generation')
 def _one_generation(history):
     for stream in history.streams:
-        sources = {_parts(t.text)[1] for t in stream.tokens}
+        sources = {_parse_token(t.text)[1] for t in stream.tokens}
         if len(sources) > 1:
             yield stream.request_id, f'tokens of {sorted(sources)}'
 
@@ -77,7 +77,7 @@
 def _own_tokens(history):
     for stream in history.streams:
         own = xxhash.xxh32_hexdigest(stream.request_id.encode())
-        owners = {_parts(t.text)[0] for t in stream.tokens}
+        owners = {_parse_token(t.text)[0] for t in stream.tokens}
         if owners - {own}:
             yield stream.request_id, 'tokens of another request'
 
@@ -123,10 +123,10 @@
 @_checker('at_most_once')
 def _at_most_once(history):
     counts = collections.Counter(
-        _operation(e.request_id, e.key) for e in history.executions
+        _operation_id(e.request_id, e.key) for e in history.executions
     )
     once = {
-        _operation(call.request_id, call.key)
+        _operation_id(call.request_id, call.key)
         for call in history.calls
         if not call.idempotent
     }
@@ -137,9 +137,9 @@
 
 @_checker('done_ran')
 def _done_ran(history):
-    ran = {_operation(e.request_id, e.key) for e in history.executions}
+    ran = {_operation_id(e.request_id, e.key) for e in history.executions}
     for call in history.calls:
-        operation = _operation(call.request_id, call.key)
+        operation = _operation_id(call.request_id, call.key)
         if call.outcome == 'done' and operation not in ran:
             yield call.request_id, 'was answered, yet never ran'
 
@@ -196,13 +196,13 @@
         due = [
             version
             for version, at_ms in accepted.items()
-            if at_ms + CONFIG_SPREAD_MS < seen.at_ms
+            if at_ms + CONFIG_PROPAGATION_MS < seen.at_ms
         ]
         if due and seen.version < max(due):
             yield seen.vm, f'at {seen.version}, {max(due)} was accepted'
 
 
-def _parts(text: str) -> tuple[str, str, int]:
+def _parse_token(text: str) -> tuple[str, str, int]:
     owner, source, index = text.strip().split('-')
     return owner, source, int(index)
 
@@ -214,5 +214,5 @@
     return len(indexes)
 
 
-def _operation(request_id: str, key: str | None) -> str:
+def _operation_id(request_id: str, key: str | None) -> str:
     return f'key {key}' if key else f'request {request_id}'
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -47,7 +47,7 @@
     """
 
     def __init__(
-        self, shape: shapes.Shape, directory: pathlib.Path, seed: int
+        self, shape: shapes.ClusterShape, directory: pathlib.Path, seed: int
     ) -> None:
         self.shape = shape
         self.directory = directory
@@ -61,7 +61,7 @@
         self.account_keys: dict[str, str] = {}
         self.platform: processes.Child | None = None
         self.proxy: processes.Child | None = None
-        self.text: dict = {}
+        self.services_text: dict = {}
         directory.mkdir(parents=True, exist_ok=True)
 
     def __enter__(self) -> 'Cluster':
@@ -83,18 +83,18 @@
         self._plan_entry_vms(example)
         self._open_links()
         self.publish_vms()
-        self.text = {
+        self.services_text = {
             **msgspec.to_builtins(example.text),
-            **self.shape.text_changes,
+            **self.shape.services_text_changes,
         }
-        self.accept_text()
+        self.accept_services_text()
         for vm in self.settings:
             self.start_daemon(vm)
 
     def close(self) -> None:
         """End all processes."""
         for child in self.children:
-            child.end()
+            child.kill()
 
     def _start_standins(self) -> None:
         self.platform = self._start(topologies.PLATFORM, ['standins.platform'])
@@ -169,7 +169,7 @@
         )
 
     def _open_links(self) -> None:
-        orders = self.topology.orders(
+        orders = self.topology.link_requests(
             self.platform.address, self.upstreams, self.settings
         )
         self.topology.addresses = processes.ask_json(
@@ -187,9 +187,9 @@
         lists = self.topology.vm_lists(self.upstreams, self.settings)
         processes.ask(self.platform.address, 'PUT', '/control/vms', lists)
 
-    def accept_text(self) -> bool:
+    def accept_services_text(self) -> bool:
         """Put the present text in force; return whether it was accepted."""
-        document = msgspec.json.encode(self.text).decode()
+        document = msgspec.json.encode(self.services_text).decode()
         table = http_storage.create(f'http://{self.platform.address}').table
         outcome = config_store.accept(
             table, document, AUTHOR, ids.ChangeId(ids.random_id())
@@ -231,7 +231,7 @@
 
     def _wait_ready(self, vm: str) -> None:
         def ready() -> bool:
-            if not self.daemons[vm].alive:
+            if not self.daemons[vm].is_running:
                 log = self.daemons[vm].log
                 raise RuntimeError(f'{vm} ended; see {log}')
             return self.is_ready(vm)
@@ -262,18 +262,18 @@
             if upstream.kind is states.VmKind.PLAIN
         ]
 
-    def control(self, child: processes.Child, changes: dict) -> None:
+    def set_control(self, child: processes.Child, changes: dict) -> None:
         """Tell a stand-in what to suffer from."""
         processes.ask(child.address, 'POST', '/control', changes)
 
-    def fault(self, links: list[str], **faults: object) -> None:
+    def set_faults(self, links: list[str], **faults: object) -> None:
         """Set faults on links of the proxy."""
         order = {'links': links, **faults}
         processes.ask(self.proxy.address, 'POST', '/faults', order)
 
     def kill(self, vm: str) -> None:
         """Kill a daemon."""
-        self.daemons[vm].end()
+        self.daemons[vm].kill()
 
     def terminate(self, vm: str) -> None:
         """Ask a daemon to drain and end."""
--- a/standins/degradation.py
+++ b/standins/degradation.py
@@ -7,13 +7,13 @@
 
 from standins import history as histories
 
-__all__ = ['Served', 'Window', 'served']
+__all__ = ['FaultWindow', 'OutcomeSummary', 'summarize']
 
 P95 = 0.95
 
 
 @dataclasses.dataclass(frozen=True)
-class Window:
+class FaultWindow:
     """When a round's faults began and were healed, in milliseconds.
 
     Attributes:
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Served:
+class OutcomeSummary:
     """Outcomes of the requests that began in some span of time."""
 
     name: str
@@ -40,7 +40,9 @@
         return f'{self.name} {counts or "none"} done_p95_ms={self.p95_ms:.0f}'
 
 
-def served(history: histories.History, window: Window) -> list[Served]:
+def summarize(
+    history: histories.History, window: FaultWindow
+) -> list[OutcomeSummary]:
     """Return what was served before the faults and while they lasted.
 
     Args:
@@ -68,12 +70,12 @@
     return rows
 
 
-def _row(name: str, records: collections.abc.Sequence) -> Served:
+def _row(name: str, records: collections.abc.Sequence) -> OutcomeSummary:
     outcomes = collections.Counter(r.outcome for r in records)
     times_ms = sorted(
         r.ended_ms - r.started_ms for r in records if r.outcome == 'done'
     )
     if not times_ms:
-        return Served(name, outcomes, 0.0)
+        return OutcomeSummary(name, outcomes, 0.0)
     place = max(0, math.ceil(P95 * len(times_ms)) - 1)
-    return Served(name, outcomes, times_ms[place])
+    return OutcomeSummary(name, outcomes, times_ms[place])
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -35,29 +35,29 @@
 
 def main() -> None:
     """Show the system at work; exit 0 if nothing was lost or doubled."""
-    _say('starting the stand-ins and three daemons on loopback')
-    shape = shapes.smaller(shapes.shape_of('nadroga'))
+    _print('starting the stand-ins and three daemons on loopback')
+    shape = shapes.minimal(shapes.shape_of('nadroga'))
     with clusters.Cluster(shape, DIRECTORY, seed=1) as cluster:
         cluster.wait_ready()
         for vm, settings in cluster.settings.items():
             zone = settings.availability_zone
-            _say(f'  {vm} in {zone} is ready at {settings.listen.callers}')
-        history = _show(cluster)
+            _print(f'  {vm} in {zone} is ready at {settings.listen.callers}')
+        history = _run_load(cluster)
         _drain(cluster)
         code = _report(cluster)
     violations = checkers.check(history)
     for violation in violations:
-        _say(f'violated: {violation}')
-    _say('done' if not violations and code == 0 else 'the demo failed')
+        _print(f'violated: {violation}')
+    _print('done' if not violations and code == 0 else 'the demo failed')
     raise typer.Exit(1 if violations else code)
 
 
-def _show(cluster: clusters.Cluster) -> histories.History:
+def _run_load(cluster: clusters.Cluster) -> histories.History:
     entry_points = [
         load.EntryPoint(vm, settings.listen.callers)
         for vm, settings in cluster.settings.items()
     ]
-    mix = load.Mix(
+    mix = load.Workload(
         'shop-assistant',
         'desk-app',
         '/availability',
@@ -66,21 +66,21 @@
         mean_tokens=40,
     )
     callers = load.Callers(mix, entry_points, seed=1)
-    _say(
+    _print(
         f'{STREAM_CALLERS} callers of shop-assistant and '
         f'{PLAIN_CALLERS} of desk-app for {LOAD_S:g} s'
     )
     callers.start(STREAM_CALLERS, PLAIN_CALLERS)
     time.sleep(LOAD_S)
-    answer = _lose_a_vm(cluster, mix, entry_points, callers)
+    answer = _kill_entry_vm(cluster, mix, entry_points, callers)
     time.sleep(LOAD_S)
     callers.stop()
-    return _gather(cluster, callers, answer)
+    return _collect_history(cluster, callers, answer)
 
 
-def _lose_a_vm(
+def _kill_entry_vm(
     cluster: clusters.Cluster,
-    mix: load.Mix,
+    mix: load.Workload,
     entry_points: list[load.EntryPoint],
     callers: load.Callers,
 ) -> histories.StreamRecord:
@@ -94,35 +94,35 @@
     stream = stream_caller.Stream(single, record, random.Random(2))
     thread = threading.Thread(target=stream.run, args=(mix.keys[0],))
     thread.start()
-    _say(f'a write-up of {LONG_ANSWER_TOKENS} tokens begins at {first.vm}')
+    _print(f'a write-up of {LONG_ANSWER_TOKENS} tokens begins at {first.vm}')
     processes.wait_until(
         lambda: len(record.tokens) >= TOKENS_BEFORE_KILL,
         f'{TOKENS_BEFORE_KILL} tokens',
     )
-    _say(f'killing {first.vm} after {len(record.tokens)} tokens')
+    _print(f'killing {first.vm} after {len(record.tokens)} tokens')
     single.set_entry_points(entry_points[1:])
     callers.set_entry_points(entry_points[1:])
     cluster.kill(first.vm)
     thread.join(ANSWER_TIMEOUT_S)
-    _tell_answer(record)
+    _print_resumption(record)
     return record
 
 
-def _tell_answer(record: histories.StreamRecord) -> None:
+def _print_resumption(record: histories.StreamRecord) -> None:
     resumed = next((i for i, t in enumerate(record.tokens) if t.resumed), 0)
     begin = max(0, resumed - SHOWN_TOKENS)
     before = ' '.join(t.text for t in record.tokens[begin:resumed])
     after = ' '.join(
         t.text for t in record.tokens[resumed : resumed + SHOWN_TOKENS]
     )
-    _say(f'resumed at {record.vms[-1]}: ... {before} | {after} ...')
-    _say(
+    _print(f'resumed at {record.vms[-1]}: ... {before} | {after} ...')
+    _print(
         f'the caller has {len(record.tokens)} of {record.wanted_tokens} '
         f'tokens; outcome {record.outcome}'
     )
 
 
-def _gather(
+def _collect_history(
     cluster: clusters.Cluster,
     callers: load.Callers,
     answer: histories.StreamRecord,
@@ -138,7 +138,7 @@
     ):
         outcomes = collections.Counter(record.outcome for record in records)
         told = ', '.join(f'{n} {o}' for o, n in sorted(outcomes.items()))
-        _say(f'{name}: {len(records)} requests were told: {told}')
+        _print(f'{name}: {len(records)} requests were told: {told}')
     return history
 
 
@@ -161,17 +161,17 @@
 
 def _drain(cluster: clusters.Cluster) -> None:
     """Have the daemons write their last part of the report and end."""
-    _say('draining the daemons that are left')
-    left = [vm for vm, child in cluster.daemons.items() if child.alive]
+    _print('draining the daemons that are left')
+    left = [vm for vm, child in cluster.daemons.items() if child.is_running]
     for vm in left:
         cluster.terminate(vm)
     for vm in left:
         code = cluster.daemons[vm].process.wait(DRAIN_TIMEOUT_S)
-        _say(f'  {vm} has ended with exit code {code}')
+        _print(f'  {vm} has ended with exit code {code}')
 
 
 def _report(cluster: clusters.Cluster) -> int:
-    _say('the report:')
+    _print('the report:')
     return subprocess.run(
         [
             sys.executable,
@@ -186,7 +186,7 @@
     ).returncode
 
 
-def _say(line: str) -> None:
+def _print(line: str) -> None:
     typer.echo(f'==> {line}')
     sys.stdout.flush()
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -85,8 +85,8 @@
         self.control = Control()
         self.telemetry = engine_telemetry.Telemetry(random.Random(seed))
         self.lock = threading.Lock()
-        self.wakened = threading.Condition(self.lock)
-        self.changed: dict[str, threading.Condition] = {}
+        self.work_available = threading.Condition(self.lock)
+        self.token_conditions: dict[str, threading.Condition] = {}
         self.records: dict[str, Record] = {}
         self.leaving_since_ms: float | None = None
         self.application = serving.Application()
@@ -121,11 +121,11 @@
             with self.lock:
                 self.model.config.slowdown = self.control.slowdown
                 if not self.control.stalled:
-                    self._publish(self.model.advance(now_ms))
+                    self._notify_all_changed(self.model.advance(now_ms))
                 if now_ms >= next_snapshot_ms:
                     self._snapshot(now_ms)
                     next_snapshot_ms = now_ms + SNAPSHOT_MS
-                self.wakened.wait(self._pause_s(now_ms))
+                self.work_available.wait(self._pause_s(now_ms))
 
     def _pause_s(self, now_ms: float) -> float:
         ends_ms = self.model.next_ms()
@@ -134,23 +134,23 @@
         pause_s = (ends_ms - now_ms) / clocks.MS_PER_SECOND
         return min(IDLE_POLL_S, max(0.0, pause_s))
 
-    def _publish(self, happenings: list[engine_model.Happening]) -> None:
-        touched = {happening.generation for happening in happenings}
+    def _notify_all_changed(self, events: list[engine_model.Event]) -> None:
+        touched = {event.generation for event in events}
         for generation in touched:
-            self._touch(generation)
+            self._notify_streams(generation)
 
-    def _touch(self, generation: str) -> None:
+    def _notify_streams(self, generation: str) -> None:
         state = self.model.generations[generation]
         record = self.records[generation]
         record.produced = state.produced
         record.state = state.state
-        self.changed[generation].notify_all()
+        self.token_conditions[generation].notify_all()
 
     def _snapshot(self, now_ms: float) -> None:
         gap_probability = self.control.cache_gap_probability
         self.telemetry.snapshot(self.model, gap_probability, now_ms)
         for generation in self.model.forget(now_ms - self.control.keep_ms):
-            del self.changed[generation]
+            del self.token_conditions[generation]
 
     def complete(self, request: wrappers.Request) -> wrappers.Response:
         """Start a generation, or attach to the one that has this id."""
@@ -181,13 +181,13 @@
             request.headers.get('X-Priority') != 'batch',
             now_ms,
         )
-        if generation not in self.changed:
-            self.changed[generation] = threading.Condition(self.lock)
+        if generation not in self.token_conditions:
+            self.token_conditions[generation] = threading.Condition(self.lock)
         record = self.records.setdefault(
             generation, Record(generation, request_id, now_ms)
         )
         record.attaches += 1
-        self.wakened.notify()
+        self.work_available.notify()
 
     def resume(
         self, request: wrappers.Request, generation: str
@@ -237,8 +237,8 @@
         state: engine_model.Generation,
         index: int,
     ) -> None:
-        condition = self.changed.get(generation)
-        while state.alive and state.produced <= index:
+        condition = self.token_conditions.get(generation)
+        while state.is_active and state.produced <= index:
             condition.wait(STREAM_WAIT_S)
 
     def get_status(
@@ -264,7 +264,7 @@
     def _cancel(self, generation: str) -> None:
         if generation in self.model.generations:
             self.model.cancel(generation, self.clock.now_ms())
-            self._touch(generation)
+            self._notify_streams(generation)
 
     def get_load(self, request: wrappers.Request) -> wrappers.Response:
         """Return the load as it was some time ago."""
@@ -315,20 +315,22 @@
         """Replace the faults that the body names."""
         changes = serving.read_json(request)
         with self.lock:
-            self.control = serving.merge(self.control, changes)
+            self.control = serving.merge_changes(self.control, changes)
             leaving = self.control.state == 'leaving'
             if leaving and self.leaving_since_ms is None:
                 self.leaving_since_ms = self.clock.now_ms()
             if not leaving:
                 self.leaving_since_ms = None
-            self.wakened.notify()
+            self.work_available.notify()
         return serving.json_answer(self.control)
 
     def reclaim(self, request: wrappers.Request) -> wrappers.Response:
         """Say that the engine is leaving, then exit after a notice."""
         notice_ms = serving.read_json(request).get('notice_ms', 2_000.0)
         with self.lock:
-            self.control = serving.merge(self.control, {'state': 'leaving'})
+            self.control = serving.merge_changes(
+                self.control, {'state': 'leaving'}
+            )
             self.leaving_since_ms = self.clock.now_ms()
         timer = threading.Timer(
             notice_ms / clocks.MS_PER_SECOND, os._exit, (0,)
@@ -344,7 +346,7 @@
                 self._cancel(generation)
             now_ms = self.clock.now_ms()
             for generation in self.model.forget(now_ms):
-                del self.changed[generation]
+                del self.token_conditions[generation]
         return serving.json_answer({})
 
     def get_history(self, request: wrappers.Request) -> wrappers.Response:
--- a/standins/engine_model.py
+++ b/standins/engine_model.py
@@ -15,9 +15,9 @@
 from standins import prefix_cache
 
 __all__ = [
+    'Ended',
     'EngineConfig',
     'EngineModel',
-    'Ended',
     'FullError',
     'Generation',
     'Preempted',
@@ -26,7 +26,7 @@
 ]
 
 BYTES_PER_TOKEN = 4
-_TOKENS_WISH = re.compile(r'\btokens=(\d+)')
+_TOKENS_PATTERN = re.compile(r'\btokens=(\d+)')
 
 
 @dataclasses.dataclass(slots=True)
@@ -85,7 +85,7 @@
     at_ms: float
 
 
-Happening = Token | Preempted | Ended
+Event = Token | Preempted | Ended
 
 
 class FullError(Exception):
@@ -109,7 +109,7 @@
     prefixes: tuple[str, ...]
     output_tokens: int
     finish_reason: str
-    urgent: bool
+    is_interactive: bool
     order: int
     submitted_ms: float
     state: str = 'waiting'
@@ -123,7 +123,7 @@
         return self.prompt_tokens + self.produced
 
     @property
-    def alive(self) -> bool:
+    def is_active(self) -> bool:
         """Whether it may still produce tokens."""
         return self.state in ('waiting', 'running', 'preempted')
 
@@ -166,7 +166,7 @@
         request_id: str,
         prompt: str,
         max_tokens: int | None,
-        urgent: bool,
+        is_interactive: bool,
         now_ms: float,
     ) -> Generation:
         """Queue a generation, or return the one that has this id.
@@ -189,7 +189,7 @@
             prefix_cache.prefixes(data),
             output,
             reason,
-            urgent,
+            is_interactive,
             self.submitted,
             now_ms,
         )
@@ -202,7 +202,7 @@
     def _output(
         self, request_id: str, prompt: str, max_tokens: int | None
     ) -> tuple[int, str]:
-        wish = _TOKENS_WISH.search(prompt)
+        wish = _TOKENS_PATTERN.search(prompt)
         if wish is not None:
             length = int(wish[1])
         else:
@@ -219,7 +219,7 @@
     def cancel(self, generation: str, now_ms: float) -> None:
         """End a generation at once; harmless when it is over."""
         cancelled = self.generations.get(generation)
-        if cancelled is None or not cancelled.alive:
+        if cancelled is None or not cancelled.is_active:
             return
         self._remove(cancelled)
         cancelled.state = 'cancelled'
@@ -245,7 +245,7 @@
         """Return the memory that running generations hold, in tokens."""
         return sum(g.context_tokens for g in self.running)
 
-    def advance(self, now_ms: float) -> list[Happening]:
+    def advance(self, now_ms: float) -> list[Event]:
         """Run all steps that end by a time.
 
         Args:
@@ -254,17 +254,17 @@
         Returns:
             What happened, in order.
         """
-        happenings: list[Happening] = []
+        events: list[Event] = []
         while True:
             if self.step_ends_ms is None:
                 self._begin_step(now_ms)
                 if self.step_ends_ms is None:
-                    return happenings
+                    return events
             if self.step_ends_ms > now_ms:
-                return happenings
+                return events
             ended_ms = self.step_ends_ms
             self.step_ends_ms = None
-            happenings += self._end_step(ended_ms)
+            events += self._end_step(ended_ms)
             self._begin_step(ended_ms)
 
     def _begin_step(self, now_ms: float) -> None:
@@ -285,7 +285,7 @@
         self.step_ends_ms = now_ms + step_ms * config.slowdown
 
     def _admit(self) -> None:
-        self.waiting.sort(key=_rank)
+        self.waiting.sort(key=_priority_key)
         free = self.config.kv_tokens_total - self.kv_tokens_used()
         while self.waiting and len(self.running) < self.config.max_running:
             first = self.waiting[0]
@@ -302,10 +302,10 @@
             self.cache.store(first.prefixes)
         self.cache.shrink(max(0, free))
 
-    def _end_step(self, at_ms: float) -> list[Happening]:
-        happenings: list[Happening] = []
+    def _end_step(self, at_ms: float) -> list[Event]:
+        events: list[Event] = []
         for generation in list(self.running):
-            happenings.append(
+            events.append(
                 Token(generation.generation, generation.produced, at_ms)
             )
             generation.produced += 1
@@ -313,28 +313,28 @@
                 generation.state = 'done'
                 generation.ended_ms = at_ms
                 self.running.remove(generation)
-                happenings.append(
+                events.append(
                     Ended(
                         generation.generation,
                         generation.finish_reason,
                         at_ms,
                     )
                 )
-        happenings += self._preempt(at_ms)
-        return happenings
+        events += self._preempt(at_ms)
+        return events
 
-    def _preempt(self, at_ms: float) -> list[Happening]:
-        happenings: list[Happening] = []
+    def _preempt(self, at_ms: float) -> list[Event]:
+        events: list[Event] = []
         used = self.kv_tokens_used() + len(self.running)
         while used > self.config.kv_tokens_total and len(self.running) > 1:
-            victim = max(self.running, key=_rank)
+            victim = max(self.running, key=_priority_key)
             used -= victim.context_tokens + 1
             self.running.remove(victim)
             victim.state = 'preempted'
             self.waiting.append(victim)
             self.preemptions += 1
-            happenings.append(Preempted(victim.generation, at_ms))
-        return happenings
+            events.append(Preempted(victim.generation, at_ms))
+        return events
 
     def _remove(self, generation: Generation) -> None:
         if generation in self.running:
@@ -357,5 +357,5 @@
     return f'{owner}-{source}-{index} '
 
 
-def _rank(generation: Generation) -> tuple[bool, int]:
-    return (not generation.urgent, generation.order)
+def _priority_key(generation: Generation) -> tuple[bool, int]:
+    return (not generation.is_interactive, generation.order)
--- a/standins/engine_orders.py
+++ b/standins/engine_orders.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-__all__ = ['Held', 'Order', 'Orders', 'Taken']
+__all__ = ['Held', 'Order', 'OrderRecord', 'Orders']
 
 
 class Order(msgspec.Struct):
@@ -24,7 +24,7 @@
     adapters: list[str]
 
 
-class Taken(msgspec.Struct):
+class OrderRecord(msgspec.Struct):
     """An order with what became of it."""
 
     at_ms: float
@@ -47,10 +47,10 @@
         self.check_fencing = check_fencing
         self.load_time_ms = load_time_ms
         self.role = role
-        self.seen = 0
+        self.highest_fencing = 0
         self.held: dict[str, Held] = {}
         self.loading: list[tuple[float, Order]] = []
-        self.taken: list[Taken] = []
+        self.taken: list[OrderRecord] = []
 
     def hold(self, model: str, version: str, adapters: list[str]) -> None:
         """Put a model into memory at once."""
@@ -65,25 +65,25 @@
         """
         fencing = order.fencing
         if self.check_fencing and fencing is not None:
-            if fencing < self.seen:
-                self.taken.append(Taken(now_ms, order, False))
-                return self.seen
-            self.seen = fencing
-        self.taken.append(Taken(now_ms, order, True))
+            if fencing < self.highest_fencing:
+                self.taken.append(OrderRecord(now_ms, order, False))
+                return self.highest_fencing
+            self.highest_fencing = fencing
+        self.taken.append(OrderRecord(now_ms, order, True))
         self.loading.append((now_ms + self.load_time_ms, order))
         return None
 
     def state(self, now_ms: float) -> dict:
         """Return what is held and what is loading."""
-        self._settle(now_ms)
+        self._apply_due(now_ms)
         return {
             'models': list(self.held.values()),
             'role': self.role,
             'loading': [order for _, order in self.loading],
-            'fencing': self.seen,
+            'fencing': self.highest_fencing,
         }
 
-    def _settle(self, now_ms: float) -> None:
+    def _apply_due(self, now_ms: float) -> None:
         ready = [order for at_ms, order in self.loading if at_ms <= now_ms]
         self.loading = [
             (at_ms, order) for at_ms, order in self.loading if at_ms > now_ms
--- a/standins/engine_telemetry.py
+++ b/standins/engine_telemetry.py
@@ -25,7 +25,7 @@
             maxlen=MAX_SNAPSHOTS
         )
         self.cache_log: list[tuple[float, dict]] = []
-        self.cache_seen = 0
+        self.last_cache_seq = 0
 
     def snapshot(
         self,
@@ -45,8 +45,8 @@
             }
         )
         for event in model.cache.events:
-            if event.seq > self.cache_seen:
-                self.cache_seen = event.seq
+            if event.seq > self.last_cache_seq:
+                self.last_cache_seq = event.seq
                 self._log(event, gap_probability, now_ms)
 
     def _log(
--- a/standins/entry_checks.py
+++ b/standins/entry_checks.py
@@ -8,9 +8,9 @@
 
 __all__ = ['CHECKERS', 'Call', 'Record', 'check']
 
-PROMISES = frozenset((408, 421, 429, 503))
-EVENTS = 40
-SLACK_S = 0.3
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
+STREAM_EVENTS = 40
+TRANSIT_TOLERANCE_S = 0.3
 """Time that a send may be on its way; s."""
 
 
@@ -82,7 +82,10 @@
 def not_run_is_true(record: Record) -> Violations:
     """Find requests that were refused as not run, and ran."""
     for call in record.calls:
-        if call.status in PROMISES and call.request in record.runs:
+        if (
+            call.status in NOT_EXECUTED_STATUSES
+            and call.request in record.runs
+        ):
             yield f'{call.request} got {call.status} and ran'
 
 
@@ -102,7 +105,7 @@
         if call.kind != 'write' or call.status != 200:
             continue
         parts = call.body.split(b'\n\n')
-        if call.is_whole and len(parts) != EVENTS + 1:
+        if call.is_whole and len(parts) != STREAM_EVENTS + 1:
             yield f'{call.request} ended after {len(parts) - 1} events'
         for index, part in enumerate(parts[:-1], 1):
             own = f'id: {index}\ndata: {call.request} {index}'.encode()
@@ -117,7 +120,7 @@
         revoked_s = record.revoked_s.get(call.key)
         if revoked_s is None or call.request not in record.runs:
             continue
-        late_s = call.sent_s - revoked_s - record.bound_s - SLACK_S
+        late_s = call.sent_s - revoked_s - record.bound_s - TRANSIT_TOLERANCE_S
         if late_s > 0:
             yield f'{call.request} was sent {late_s:.2f} s too late and ran'
 
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -31,7 +31,7 @@
     def open_links(self, request: wrappers.Request) -> wrappers.Response:
         """Open listeners; the answer names the address of each."""
         wanted = msgspec.json.decode(
-            request.get_data(), type=list[proxy_loop.LinkOrder]
+            request.get_data(), type=list[proxy_loop.LinkRequest]
         )
         opened = self.loop.call(lambda: self.loop.open_links(wanted))
         return serving.json_answer(opened)
@@ -43,7 +43,7 @@
     def set_faults(self, request: wrappers.Request) -> wrappers.Response:
         """Change the faults of links; fields left out stay."""
         order = msgspec.json.decode(
-            request.get_data(), type=proxy_loop.FaultOrder
+            request.get_data(), type=proxy_loop.FaultRequest
         )
         touched = self.loop.call(lambda: self.loop.set_faults(order))
         return serving.json_answer({'links': touched})
--- a/standins/history.py
+++ b/standins/history.py
@@ -4,18 +4,18 @@
 
 __all__ = [
     'CallRecord',
-    'ConfigSeen',
-    'Cut',
+    'ConfigObservation',
+    'ConnectionLoss',
     'EngineGeneration',
     'Execution',
     'History',
-    'Leaving',
-    'Received',
+    'ReceivedToken',
     'StreamRecord',
+    'UpstreamDeparture',
 ]
 
 
-class Received(msgspec.Struct):
+class ReceivedToken(msgspec.Struct):
     """One token that reached a caller.
 
     Attributes:
@@ -28,7 +28,7 @@
     resumed: int = 0
 
 
-class Cut(msgspec.Struct):
+class ConnectionLoss(msgspec.Struct):
     """A connection that ended before its answer did."""
 
     vm: str
@@ -50,10 +50,10 @@
     wanted_tokens: int
     started_ms: float
     ended_ms: float = 0.0
-    tokens: list[Received] = []
+    tokens: list[ReceivedToken] = []
     outcome: str = 'cut'
     vms: list[str] = []
-    cuts: list[Cut] = []
+    cuts: list[ConnectionLoss] = []
     note: str = ''
 
 
@@ -101,7 +101,7 @@
     at_ms: float
 
 
-class Leaving(msgspec.Struct):
+class UpstreamDeparture(msgspec.Struct):
     """An upstream that said from some time on that it was leaving."""
 
     upstream: str
@@ -109,7 +109,7 @@
     until_ms: float
 
 
-class ConfigSeen(msgspec.Struct):
+class ConfigObservation(msgspec.Struct):
     """The version that one process of a VM had in force at a time."""
 
     vm: str
@@ -132,8 +132,8 @@
     calls: list[CallRecord] = []
     generations: list[EngineGeneration] = []
     executions: list[Execution] = []
-    leaving: list[Leaving] = []
-    configs: list[ConfigSeen] = []
+    leaving: list[UpstreamDeparture] = []
+    configs: list[ConfigObservation] = []
     accepted: dict[str, float] = {}
     drained: dict[str, int] = {}
     cut_by_drain: list[str] = []
--- a/standins/plain.py
+++ b/standins/plain.py
@@ -34,11 +34,21 @@
     latency_ms: float = 0.0
     state: str = 'live'
     late_ms: float = 1_000.0
-    late: serving.Draw = msgspec.field(default_factory=serving.Draw)
-    crossed: serving.Draw = msgspec.field(default_factory=serving.Draw)
-    silent: serving.Draw = msgspec.field(default_factory=serving.Draw)
-    closed: serving.Draw = msgspec.field(default_factory=serving.Draw)
-    failed: serving.Draw = msgspec.field(default_factory=serving.Draw)
+    late: serving.FaultTrigger = msgspec.field(
+        default_factory=serving.FaultTrigger
+    )
+    crossed: serving.FaultTrigger = msgspec.field(
+        default_factory=serving.FaultTrigger
+    )
+    silent: serving.FaultTrigger = msgspec.field(
+        default_factory=serving.FaultTrigger
+    )
+    closed: serving.FaultTrigger = msgspec.field(
+        default_factory=serving.FaultTrigger
+    )
+    failed: serving.FaultTrigger = msgspec.field(
+        default_factory=serving.FaultTrigger
+    )
 
 
 class Execution(msgspec.Struct):
@@ -70,7 +80,10 @@
         self.executions: list[Execution] = []
         self.counts: collections.Counter = collections.Counter()
         self.running = 0
-        self.other: tuple[str, bytes] = ('crossed-0', b'{"crossed": true}')
+        self.previous_answer: tuple[str, bytes] = (
+            'crossed-0',
+            b'{"crossed": true}',
+        )
         self.lock = threading.Lock()
         self.application = serving.Application()
         add = self.application.add
@@ -123,17 +136,17 @@
             }
         )
         own = (execution.request_id, body)
-        if control.late.strikes(generator):
+        if control.late.fires(generator):
             time.sleep(control.late_ms / clocks.MS_PER_SECOND)
-        if control.silent.strikes(generator):
+        if control.silent.fires(generator):
             time.sleep(MAX_SILENCE_S)
-        if control.closed.strikes(generator):
+        if control.closed.fires(generator):
             return serving.drop_connection(request)
-        if control.crossed.strikes(generator):
-            return _reply(self.other, 200)
+        if control.crossed.fires(generator):
+            return _reply(self.previous_answer, 200)
         with self.lock:
-            self.other = own
-        status = 500 if control.failed.strikes(generator) else 200
+            self.previous_answer = own
+        status = 500 if control.failed.fires(generator) else 200
         return _reply(own, status)
 
     def get_load(self, request: wrappers.Request) -> wrappers.Response:
@@ -153,7 +166,7 @@
     def set_control(self, request: wrappers.Request) -> wrappers.Response:
         """Replace the faults that the body names."""
         changes = serving.read_json(request)
-        self.control = serving.merge(self.control, changes)
+        self.control = serving.merge_changes(self.control, changes)
         return serving.json_answer(self.control)
 
     def get_history(self, request: wrappers.Request) -> wrappers.Response:
--- a/standins/plain_caller.py
+++ b/standins/plain_caller.py
@@ -18,8 +18,8 @@
 
 REPEATS = 4
 REPEAT_PAUSE_S = 0.2
-HASTY_TIMEOUT_S = 0.08
-SHOWN_BYTES = 300
+IMPATIENT_TIMEOUT_S = 0.08
+MAX_RECORDED_BYTES = 300
 
 
 class Kind(enum.Enum):
@@ -83,8 +83,10 @@
         )
         self.callers.calls.append(record)
         is_hasty = self.kind is Kind.HASTY and attempt == '0'
-        patience_s = self.callers.mix.patience_s
-        self._send(record, bearer, HASTY_TIMEOUT_S if is_hasty else patience_s)
+        patience_s = self.callers.workload.resume_timeout_s
+        self._send(
+            record, bearer, IMPATIENT_TIMEOUT_S if is_hasty else patience_s
+        )
         if is_hasty and record.outcome == 'cut':
             record.outcome = 'left'
         record.ended_ms = self.callers.clock.now_ms()
@@ -93,7 +95,7 @@
     def _send(
         self, record: histories.CallRecord, bearer: str, timeout_s: float
     ) -> None:
-        entry = self.callers.choose(self.generator)
+        entry = self.callers.choose_entry_point(self.generator)
         record.vm = entry.vm
         connection = http.client.HTTPConnection(
             entry.address, timeout=timeout_s
@@ -106,7 +108,7 @@
         try:
             self._request(connection, record, bearer)
             answer = connection.getresponse()
-            _note_answer(record, answer, answer.read())
+            _record_answer(record, answer, answer.read())
         except (OSError, http.client.HTTPException) as error:
             record.answer = f'{type(error).__name__}: {error}'
         finally:
@@ -118,7 +120,7 @@
         record: histories.CallRecord,
         bearer: str,
     ) -> None:
-        mix = self.callers.mix
+        mix = self.callers.workload
         path = mix.lookup if record.idempotent else mix.booking
         headers = stream_caller.headers(bearer, record.request_id)
         if record.key:
@@ -131,7 +133,7 @@
         )
 
 
-def _note_answer(
+def _record_answer(
     record: histories.CallRecord,
     answer: http.client.HTTPResponse,
     body: bytes,
@@ -140,14 +142,14 @@
     record.answered_id = answer.headers.get('X-Request-Id', '')
     if answer.status == http.client.OK:
         record.outcome = 'done'
-        record.answer = _echoed(body)
+        record.answer = _decode_echo(body)
         return
     record.outcome = answer.headers.get('X-Outcome', f'{answer.status}')
-    record.answer = body.decode(errors='replace')[:SHOWN_BYTES]
+    record.answer = body.decode(errors='replace')[:MAX_RECORDED_BYTES]
 
 
-def _echoed(body: bytes) -> str:
+def _decode_echo(body: bytes) -> str:
     try:
         return msgspec.json.decode(body, type=dict).get('body', '?')
     except msgspec.MsgspecError:
-        return body.decode(errors='replace')[:SHOWN_BYTES]
+        return body.decode(errors='replace')[:MAX_RECORDED_BYTES]
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -37,8 +37,12 @@
 
     latency_ms: float = 0.0
     outage: str = 'none'
-    lose_answers: serving.Draw = msgspec.field(default_factory=serving.Draw)
-    refuse_writes: serving.Draw = msgspec.field(default_factory=serving.Draw)
+    lose_answers: serving.FaultTrigger = msgspec.field(
+        default_factory=serving.FaultTrigger
+    )
+    refuse_writes: serving.FaultTrigger = msgspec.field(
+        default_factory=serving.FaultTrigger
+    )
     vm_list_lag_ms: float = 0.0
 
 
@@ -120,13 +124,13 @@
             request.get_data(), type=table.Transaction
         )
         with self.lock:
-            if self.control.refuse_writes.strikes(self.generator):
+            if self.control.refuse_writes.fires(self.generator):
                 return serving.json_answer({'error': 'refused'}, 503)
             outcome = self.table.commit(transaction)
-            lost = self.control.lose_answers.strikes(self.generator)
+            lost = self.control.lose_answers.fires(self.generator)
         if lost:
             return serving.drop_connection(request)
-        if isinstance(outcome, table.Failed):
+        if isinstance(outcome, table.FailedCondition):
             return serving.json_answer({'failed': outcome}, 409)
         return serving.json_answer({'versions': outcome})
 
@@ -227,7 +231,7 @@
     def set_control(self, request: wrappers.Request) -> wrappers.Response:
         """Replace the faults that the body names."""
         changes = serving.read_json(request)
-        self.control = serving.merge(self.control, changes)
+        self.control = serving.merge_changes(self.control, changes)
         return serving.json_answer(self.control)
 
     def get_counters(self, request: wrappers.Request) -> wrappers.Response:
--- a/standins/prefix_cache.py
+++ b/standins/prefix_cache.py
@@ -66,14 +66,14 @@
         for prefix in chain:
             if prefix not in self.blocks:
                 self.blocks[prefix] = None
-                self._note('stored', prefix)
+                self._log_event('stored', prefix)
 
     def shrink(self, tokens: int) -> None:
         """Evict blocks until the cache fits a number of tokens."""
         while self.tokens > tokens:
             prefix, _ = self.blocks.popitem(last=False)
-            self._note('evicted', prefix)
+            self._log_event('evicted', prefix)
 
-    def _note(self, kind: str, prefix: str) -> None:
+    def _log_event(self, kind: str, prefix: str) -> None:
         self.seq += 1
         self.events.append(CacheEvent(self.seq, kind, prefix))
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -43,16 +43,16 @@
             )
 
     @property
-    def alive(self) -> bool:
+    def is_running(self) -> bool:
         """Whether the process has not ended yet."""
         return self.process.poll() is None
 
     def signal(self, number: signal.Signals) -> None:
         """Send a signal to the process if it has not ended."""
-        if self.alive:
+        if self.is_running:
             self.process.send_signal(number)
 
-    def end(self) -> None:
+    def kill(self) -> None:
         """End the process by force, also when it is stopped."""
         self.signal(signal.SIGKILL)
         self.process.wait(END_TIMEOUT_S)
@@ -76,7 +76,7 @@
     """
 
     def printed() -> str:
-        if not child.alive:
+        if not child.is_running:
             raise RuntimeError(f'{child.name} ended; see {child.log}')
         for line in child.log.read_text(encoding='utf-8').splitlines():
             if line.startswith('listening '):
--- a/standins/proxy_flow.py
+++ b/standins/proxy_flow.py
@@ -5,19 +5,19 @@
 import functools
 import socket
 
-__all__ = ['Flow', 'Pair', 'Rate']
+__all__ = ['Flow', 'ProxiedConnection', 'RateLimiter']
 
 BITS_PER_BYTE = 8
 
 
-class Rate:
+class RateLimiter:
     """Rate that several connections share, for each direction apart.
 
     Args:
         bits_per_second: The rate; 0 for no limit.
 
     Example:
-        >>> Rate(8_000.0).departure_s(True, 10.0, 1_000)
+        >>> RateLimiter(8_000.0).departure_s(True, 10.0, 1_000)
         11.0
     """
 
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        pair: 'Pair',
+        pair: 'ProxiedConnection',
         source: socket.socket,
         sink: socket.socket,
         towards_server: bool,
@@ -92,7 +92,7 @@
         self.sink.shutdown(socket.SHUT_WR)
 
 
-class Pair:
+class ProxiedConnection:
     """A caller's connection and the one to the target.
 
     Attributes:
@@ -104,7 +104,7 @@
         self, link: object, client: socket.socket, server: socket.socket
     ) -> None:
         self.link = link
-        self.lost: frozenset[bool] = frozenset()
+        self.dropped_directions: frozenset[bool] = frozenset()
         self.closed = False
         self.client = client
         self.flows = (
@@ -112,7 +112,7 @@
             Flow(self, server, client, False),
         )
 
-    def twin(self, flow: Flow) -> Flow:
+    def opposite(self, flow: Flow) -> Flow:
         """Return the flow of the other direction."""
         return self.flows[1] if flow is self.flows[0] else self.flows[0]
 
@@ -120,7 +120,7 @@
         """Return whether both directions have ended."""
         return all(flow.finished for flow in self.flows)
 
-    def shut_callers_side(self) -> None:
+    def half_close_client(self) -> None:
         """End the direction towards the caller alone."""
         try:
             self.client.shutdown(socket.SHUT_WR)
--- a/standins/proxy_loop.py
+++ b/standins/proxy_loop.py
@@ -14,7 +14,7 @@
 
 from standins import proxy_flow
 
-__all__ = ['FaultOrder', 'Link', 'LinkOrder', 'ProxyLoop']
+__all__ = ['FaultRequest', 'Link', 'LinkRequest', 'ProxyLoop']
 
 IDLE_S = 0.02
 ACCEPT_BACKLOG = 512
@@ -23,7 +23,7 @@
 RESET_LINGER = struct.pack('ii', 1, 0)
 HOST = '127.0.0.1'
 # Directions in which bytes are lost; True is the one towards the server.
-_LOST = {
+_DROPPED_DIRECTIONS = {
     'none': frozenset(),
     'old': frozenset((True, False)),
     'all': frozenset((True, False)),
@@ -32,7 +32,7 @@
 }
 
 
-class LinkOrder(msgspec.Struct):
+class LinkRequest(msgspec.Struct):
     """A listener to open.
 
     Attributes:
@@ -45,7 +45,7 @@
     delay_ms: float = 0.0
 
 
-class FaultOrder(msgspec.Struct):
+class FaultRequest(msgspec.Struct):
     """Faults to set on the links whose names contain a text.
 
     Attributes:
@@ -71,16 +71,16 @@
 class Link:
     """One listener with its target and its faults."""
 
-    def __init__(self, order: LinkOrder) -> None:
+    def __init__(self, order: LinkRequest) -> None:
         host, _, port = order.target.rpartition(':')
         self.name = order.name
         self.target = (host, int(port))
         self.group = order.group
         self.delay_ms = order.delay_ms
-        self.lost_new: frozenset[bool] = frozenset()
+        self.dropped_for_new: frozenset[bool] = frozenset()
         self.listener: socket.socket | None = None
         self.port = 0
-        self.pairs: set[proxy_flow.Pair] = set()
+        self.pairs: set[proxy_flow.ProxiedConnection] = set()
         self.accepted = 0
         self.bytes = 0
 
@@ -95,7 +95,7 @@
         self.selector = selectors.DefaultSelector()
         self.links: dict[str, Link] = {}
         self.commands: queue.SimpleQueue = queue.SimpleQueue()
-        self.rates: dict[str, proxy_flow.Rate] = {}
+        self.rates: dict[str, proxy_flow.RateLimiter] = {}
         self.deliveries: list[tuple] = []
         self.numbers = itertools.count()
 
@@ -115,7 +115,7 @@
                 if key.data is not None:
                     key.data(mask)
             self._deliver()
-            self._obey()
+            self._run_commands()
         other.close()
 
     def _wait_s(self) -> float:
@@ -124,7 +124,7 @@
         until_s = self.deliveries[0][0] - time.monotonic()
         return min(IDLE_S, max(0.0, until_s))
 
-    def _obey(self) -> None:
+    def _run_commands(self) -> None:
         while not self.commands.empty():
             function, future = self.commands.get()
             try:
@@ -132,7 +132,7 @@
             except Exception as error:
                 future.set_exception(error)
 
-    def open_links(self, orders: list[LinkOrder]) -> dict[str, str]:
+    def open_links(self, orders: list[LinkRequest]) -> dict[str, str]:
         """Open listeners and return their addresses by name."""
         for order in orders:
             link = Link(order)
@@ -143,7 +143,7 @@
     def set_rates(self, rates: dict[str, float]) -> None:
         """Limit groups to a rate in bits a second; 0 lifts the limit."""
         for group, bits in rates.items():
-            self.rates[group] = proxy_flow.Rate(bits)
+            self.rates[group] = proxy_flow.RateLimiter(bits)
 
     def summary(self) -> dict[str, dict[str, int]]:
         """Return what each link carried."""
@@ -156,7 +156,7 @@
             for link in self.links.values()
         }
 
-    def set_faults(self, order: FaultOrder) -> list[str]:
+    def set_faults(self, order: FaultRequest) -> list[str]:
         """Change the faults of links and return their names."""
         touched = [
             link
@@ -167,20 +167,22 @@
             self._set_faults(link, order)
         return [link.name for link in touched]
 
-    def _set_faults(self, link: Link, order: FaultOrder) -> None:
+    def _set_faults(self, link: Link, order: FaultRequest) -> None:
         if order.delay_ms is not None:
             link.delay_ms = order.delay_ms
         if order.black_hole is not None:
-            lost = _LOST[order.black_hole]
-            link.lost_new = frozenset() if order.black_hole == 'old' else lost
+            dropped = _DROPPED_DIRECTIONS[order.black_hole]
+            link.dropped_for_new = (
+                frozenset() if order.black_hole == 'old' else dropped
+            )
             for pair in link.pairs:
-                pair.lost |= lost
+                pair.dropped_directions |= dropped
         if order.reset:
             for pair in list(link.pairs):
                 self._close(pair, reset=True)
         if order.half_close:
             for pair in link.pairs:
-                pair.shut_callers_side()
+                pair.half_close_client()
         if order.refuse is True and link.listener is not None:
             self.selector.unregister(link.listener)
             link.listener.close()
@@ -207,8 +209,8 @@
             return
         link.accepted += 1
         server = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        pair = proxy_flow.Pair(link, client, server)
-        pair.lost = link.lost_new
+        pair = proxy_flow.ProxiedConnection(link, client, server)
+        pair.dropped_directions = link.dropped_for_new
         link.pairs.add(pair)
         for end in (client, server):
             end.setblocking(False)
@@ -218,14 +220,14 @@
             self._watch(flow)
 
     def _watch(self, flow: proxy_flow.Flow) -> None:
-        """Read from a flow's source, write what its twin has ready."""
+        """Read from a flow's source, write what its opposite has ready."""
         if flow.pair.closed:
             return
-        twin = flow.pair.twin(flow)
+        opposite = flow.pair.opposite(flow)
         mask = 0
         if not flow.ended and flow.queued_bytes < MAX_QUEUED_BYTES:
             mask |= selectors.EVENT_READ
-        if twin.ready:
+        if opposite.ready:
             mask |= selectors.EVENT_WRITE
         registered = flow.registered_mask
         if mask == registered:
@@ -240,7 +242,7 @@
 
     def _io(self, flow: proxy_flow.Flow, mask: int) -> None:
         if mask & selectors.EVENT_WRITE and not flow.pair.closed:
-            self._write(flow.pair.twin(flow))
+            self._write(flow.pair.opposite(flow))
         if mask & selectors.EVENT_READ and not flow.pair.closed:
             self._read(flow)
 
@@ -251,7 +253,7 @@
         except BlockingIOError:
             return
         except OSError:
-            if pair.lost:
+            if pair.dropped_directions:
                 flow.ended = True
                 self._watch(flow)
             else:
@@ -259,7 +261,7 @@
             return
         if not data:
             flow.ended = True
-        if flow.towards_server not in pair.lost:
+        if flow.towards_server not in pair.dropped_directions:
             self._schedule(flow, data)
         self._watch(flow)
 
@@ -285,8 +287,8 @@
         now_s = time.monotonic()
         while self.deliveries and self.deliveries[0][0] <= now_s:
             _, _, flow, data = heapq.heappop(self.deliveries)
-            lost = flow.towards_server in flow.pair.lost
-            if not flow.pair.closed and not lost:
+            is_dropped = flow.towards_server in flow.pair.dropped_directions
+            if not flow.pair.closed and not is_dropped:
                 self._make_ready(flow, data)
 
     def _make_ready(self, flow: proxy_flow.Flow, data: bytes) -> None:
@@ -305,7 +307,7 @@
         for each in flow.pair.flows:
             self._watch(each)
 
-    def _close(self, pair: proxy_flow.Pair, reset: bool) -> None:
+    def _close(self, pair: proxy_flow.ProxiedConnection, reset: bool) -> None:
         if pair.closed:
             return
         pair.closed = True
--- a/standins/recorder.py
+++ b/standins/recorder.py
@@ -38,9 +38,9 @@
         self.events: list[tuple[float, str]] = []
         self.draining: set[str] = set()
         self.drains: dict[str, list[float]] = collections.defaultdict(list)
-        self.gathered: set[str] = set()
+        self.collected: set[str] = set()
         self.cut_off: set[str] = set()
-        self.window = degradation.Window(0.0, 0.0)
+        self.window = degradation.FaultWindow(0.0, 0.0)
         self.stopped = threading.Event()
         self.thread = threading.Thread(target=self._poll, daemon=True)
 
@@ -54,49 +54,49 @@
         self.thread.join()
         self.poll_configs()
         for upstream in self.cluster.upstreams.values():
-            if upstream.vm not in self.gathered and upstream.child.alive:
-                self.gather(upstream)
+            if upstream.vm not in self.collected and upstream.child.is_running:
+                self.collect_history(upstream)
 
-    def note(self, what: str) -> None:
+    def record_event(self, what: str) -> None:
         """Record something that the round did."""
         self.events.append((self.clock.now_ms(), what))
 
-    def leaving(self, vm: str) -> None:
+    def record_leaving(self, vm: str) -> None:
         """Record that an upstream gets no new work from now on."""
         self.history.leaving.append(
-            histories.Leaving(vm, self.clock.now_ms(), 1e15)
+            histories.UpstreamDeparture(vm, self.clock.now_ms(), 1e15)
         )
 
-    def drain_begins(self, vm: str) -> None:
+    def record_drain_start(self, vm: str) -> None:
         """Record that a daemon is told to drain."""
         self.draining.add(vm)
         self.drains[vm] = [self.clock.now_ms()]
 
-    def drain_ended(self, vm: str, code: int) -> None:
+    def record_drain_end(self, vm: str, code: int) -> None:
         """Record the end of a daemon that was told to drain."""
         self.drains[vm].append(self.clock.now_ms())
         self.history.drained[vm] = code
 
-    def drain_forgotten(self, vm: str) -> None:
+    def clear_drain(self, vm: str) -> None:
         """Record that a daemon was started anew."""
         self.draining.discard(vm)
 
-    def accepted(self, version: int) -> None:
+    def record_accepted(self, version: int) -> None:
         """Record that a version of the text was accepted."""
         self.history.accepted[str(version)] = self.clock.now_ms()
 
-    def gather(self, upstream: topologies.Upstream) -> None:
+    def collect_history(self, upstream: topologies.Upstream) -> None:
         """Fetch the history of an upstream."""
-        self.gathered.add(upstream.vm)
+        self.collected.add(upstream.vm)
         told = processes.ask_json(
             upstream.child.address, 'GET', '/control/history'
         )
         if upstream.kind is states.VmKind.ENGINE:
-            self._gather_engine(upstream.vm, told)
+            self._add_generations(upstream.vm, told)
         else:
-            self._gather_plain(upstream.vm, told)
+            self._add_executions(upstream.vm, told)
 
-    def _gather_engine(self, vm: str, told: dict) -> None:
+    def _add_generations(self, vm: str, told: dict) -> None:
         for each in told.get('generations', []):
             self.history.generations.append(
                 histories.EngineGeneration(
@@ -109,7 +109,7 @@
                 )
             )
 
-    def _gather_plain(self, vm: str, told: dict) -> None:
+    def _add_executions(self, vm: str, told: dict) -> None:
         for each in told.get('executions', []):
             self.history.executions.append(
                 histories.Execution(
@@ -124,13 +124,13 @@
     def poll_configs(self) -> None:
         """Ask every daemon which version it has in force."""
         for vm, child in list(self.cluster.daemons.items()):
-            if not child.alive or vm in self.draining:
+            if not child.is_running or vm in self.draining:
                 continue
             asked_ms = self.clock.now_ms()
             status = self.cluster.status(vm)
             if status.get('state') == 'ready':
                 self.history.configs.append(
-                    histories.ConfigSeen(
+                    histories.ConfigObservation(
                         vm,
                         status['incarnation'],
                         status['config_version'],
--- a/standins/rounds.py
+++ b/standins/rounds.py
@@ -20,20 +20,20 @@
 from standins import topology as topologies
 from standins import verdict as verdicts
 
-__all__ = ['BRIEF', 'Pace', 'Round', 'run_round']
+__all__ = ['LoadProfile', 'Round', 'SHORT_PROFILE', 'run_round']
 
 PATHS = {
     'nadroga': ('/availability', '/bookings'),
     'lagotermica': ('/stock', '/confirmations'),
 }
 BALANCER_POLL_S = 0.3
-WHOLE_SHARE = 0.2
-LEFT_SHARE = 0.1
+UNSTREAMED_SHARE = 0.2
+ABANDONED_SHARE = 0.1
 PLAIN_LATENCY_MS = 40.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Pace:
+class LoadProfile:
     """How much load a round has, and how long its parts last."""
 
     stream_callers: int = 14
@@ -46,7 +46,7 @@
     mean_tokens: int = 60
 
 
-BRIEF = Pace(
+SHORT_PROFILE = LoadProfile(
     stream_callers=8,
     plain_callers=5,
     warm_up_s=0.5,
@@ -78,10 +78,10 @@
         names: tuple[str, ...] = (),
         daemon_module: str = shapes.DAEMON_MODULE,
         deployment: str = '',
-        pace: Pace = Pace(),
+        profile: LoadProfile = LoadProfile(),
         is_small: bool = False,
     ) -> None:
-        self.pace = pace
+        self.profile = profile
         self.seed = seed
         self.directory = directory / f'round-{seed}'
         self.generator = random.Random(seed)
@@ -92,9 +92,9 @@
         drawn_names = self.generator.choices(sorted(faults.FAULTS), k=count)
         self.names = tuple(names or drawn_names)
         shape = shapes.shape_of(self.deployment, daemon_module)
-        self.shape = shapes.smaller(shape) if is_small else shape
+        self.shape = shapes.minimal(shape) if is_small else shape
 
-    def run(self) -> verdicts.Verdict:
+    def run(self) -> verdicts.RoundResult:
         """Run the round and check its history."""
         began_s = time.monotonic()
         shutil.rmtree(self.directory, ignore_errors=True)
@@ -102,13 +102,13 @@
             self.shape, self.directory, self.seed
         ) as cluster:
             cluster.wait_ready()
-            history, log = self._load_and_harm(cluster)
+            history, log = self._run_with_faults(cluster)
         violations = tuple(checkers.check(history))
         if violations:
-            self._keep(history, log, violations)
+            self._write_trace(history, log, violations)
         else:
             shutil.rmtree(self.directory, ignore_errors=True)
-        served = tuple(degradation.served(history, log.window))
+        served = tuple(degradation.summarize(history, log.window))
         return self.verdict(
             violations, history, time.monotonic() - began_s, served
         )
@@ -118,8 +118,8 @@
         violations: tuple[checkers.Violation, ...],
         history: histories.History | None = None,
         seconds: float = 0.0,
-        served: tuple[degradation.Served, ...] = (),
-    ) -> verdicts.Verdict:
+        served: tuple[degradation.OutcomeSummary, ...] = (),
+    ) -> verdicts.RoundResult:
         """Return what came of this round.
 
         Args:
@@ -130,7 +130,7 @@
         """
         streams = history.streams if history else ()
         calls = history.calls if history else ()
-        return verdicts.Verdict(
+        return verdicts.RoundResult(
             self.seed,
             self.deployment,
             self.names,
@@ -142,37 +142,39 @@
             served,
         )
 
-    def _load_and_harm(
+    def _run_with_faults(
         self, cluster: clusters.Cluster
     ) -> tuple[histories.History, recorder.Recorder]:
         log = recorder.Recorder(cluster)
         callers = load.Callers(
-            self._mix(cluster), self._entry_points(cluster), self.seed
+            self._workload(cluster), self._entry_points(cluster), self.seed
         )
         for upstream in cluster.plains():
             slow = {'latency_ms': PLAIN_LATENCY_MS}
-            cluster.control(upstream.child, slow)
+            cluster.set_control(upstream.child, slow)
         log.start()
-        callers.start(self.pace.stream_callers, self.pace.plain_callers)
-        self._pause(cluster, callers, self.pace.warm_up_s)
-        self._change_text(cluster, log)
+        callers.start(self.profile.stream_callers, self.profile.plain_callers)
+        self._pause(cluster, callers, self.profile.warm_up_s)
+        self._change_services_text(cluster, log)
         begin_ms = log.clock.now_ms()
-        heals = self._harm(cluster, callers, log)
+        heals = self._inject_faults(cluster, callers, log)
         self._pause(
             cluster,
             callers,
-            self.generator.uniform(self.pace.min_hold_s, self.pace.max_hold_s),
+            self.generator.uniform(
+                self.profile.min_hold_s, self.profile.max_hold_s
+            ),
         )
-        log.window = degradation.Window(
+        log.window = degradation.FaultWindow(
             begin_ms, log.clock.now_ms(), frozenset(log.cut_off)
         )
         for name, heal in heals:
-            log.note(f'heal {name}')
+            log.record_event(f'heal {name}')
             heal()
-        self._pause(cluster, callers, self.pace.recovery_s)
+        self._pause(cluster, callers, self.profile.recovery_s)
         callers.stop()
         cluster.wait_ready()
-        self._await_text(cluster, log)
+        self._wait_for_config(cluster, log)
         log.stop()
         history = log.history
         history.streams = callers.streams
@@ -181,20 +183,20 @@
         history.cut_by_drain = self._cut_by_drain(history, log)
         return history, log
 
-    def _mix(self, cluster: clusters.Cluster) -> load.Mix:
+    def _workload(self, cluster: clusters.Cluster) -> load.Workload:
         services = {
             s.kind.value: s.service for s in self.shape.deployment.services
         }
         lookup, booking = PATHS[self.deployment]
-        return load.Mix(
+        return load.Workload(
             services['engine'],
             services['plain'],
             lookup,
             booking,
             tuple(cluster.account_keys.values()),
-            mean_tokens=self.pace.mean_tokens,
-            whole_share=WHOLE_SHARE,
-            left_share=LEFT_SHARE,
+            mean_tokens=self.profile.mean_tokens,
+            unstreamed_share=UNSTREAMED_SHARE,
+            abandoned_share=ABANDONED_SHARE,
         )
 
     def _entry_points(
@@ -203,7 +205,7 @@
         return [
             load.EntryPoint(vm, cluster.link(topologies.CALLERS, vm))
             for vm, child in cluster.daemons.items()
-            if child.alive and cluster.is_ready(vm)
+            if child.is_running and cluster.is_ready(vm)
         ]
 
     def _pause(
@@ -220,14 +222,14 @@
                 callers.set_entry_points(ready)
             time.sleep(BALANCER_POLL_S)
 
-    def _change_text(
+    def _change_services_text(
         self, cluster: clusters.Cluster, log: recorder.Recorder
     ) -> None:
-        cluster.text['client_accounts'][0]['weight'] += 1.0
-        if cluster.accept_text():
-            log.accepted(2)
+        cluster.services_text['client_accounts'][0]['weight'] += 1.0
+        if cluster.accept_services_text():
+            log.record_accepted(2)
 
-    def _harm(
+    def _inject_faults(
         self,
         cluster: clusters.Cluster,
         callers: load.Callers,
@@ -236,32 +238,34 @@
         heals = []
         for number, name in enumerate(self.names):
             if number:
-                pause_s = self.generator.uniform(0.0, self.pace.second_fault_s)
+                pause_s = self.generator.uniform(
+                    0.0, self.profile.second_fault_s
+                )
                 self._pause(cluster, callers, pause_s)
             generator = random.Random(f'{self.seed}/{number}/{name}')
-            scene = faults.Scene(cluster, log, generator)
-            heals.append((name, faults.FAULTS[name](scene)))
+            context = faults.FaultContext(cluster, log, generator)
+            heals.append((name, faults.FAULTS[name](context)))
         return heals
 
-    def _await_text(
+    def _wait_for_config(
         self, cluster: clusters.Cluster, log: recorder.Recorder
     ) -> None:
         if not log.history.accepted:
             return
         accepted_ms = max(log.history.accepted.values())
-        due_ms = accepted_ms + checkers.CONFIG_SPREAD_MS
+        due_ms = accepted_ms + checkers.CONFIG_PROPAGATION_MS
         while log.clock.now_ms() <= due_ms:
             versions = [
                 cluster.status(vm).get('config_version')
                 for vm, child in cluster.daemons.items()
-                if child.alive
+                if child.is_running
             ]
             if all(version == 2 for version in versions):
                 return
             time.sleep(BALANCER_POLL_S)
 
     def _connections_kept(self) -> bool:
-        return faults.HARMLESS_TO_CONNECTIONS.issuperset(self.names)
+        return faults.CONNECTION_PRESERVING.issuperset(self.names)
 
     def _cut_by_drain(
         self, history: histories.History, log: recorder.Recorder
@@ -285,7 +289,7 @@
             and 'TimeoutError' not in reason
         ]
 
-    def _keep(
+    def _write_trace(
         self,
         history: histories.History,
         log: recorder.Recorder,
@@ -303,7 +307,7 @@
         path.write_bytes(msgspec.json.encode(trace))
 
 
-def run_round(seed: int, directory: pathlib.Path) -> verdicts.Verdict:
+def run_round(seed: int, directory: pathlib.Path) -> verdicts.RoundResult:
     """Run the round of a seed."""
     return Round(seed, directory).run()
 
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -18,10 +18,10 @@
 
 __all__ = [
     'Application',
-    'Draw',
+    'FaultTrigger',
     'drop_connection',
     'json_answer',
-    'merge',
+    'merge_changes',
     'read_json',
     'serve',
 ]
@@ -35,7 +35,7 @@
 Handler = collections.abc.Callable[..., wrappers.Response]
 
 
-class Draw(msgspec.Struct):
+class FaultTrigger(msgspec.Struct):
     """How often a fault strikes.
 
     Attributes:
@@ -46,7 +46,7 @@
     probability: float = 0.0
     following: int = 0
 
-    def strikes(self, generator: random.Random) -> bool:
+    def fires(self, generator: random.Random) -> bool:
         """Return whether the next request is struck.
 
         Args:
@@ -119,7 +119,7 @@
     return msgspec.json.decode(request.get_data() or b'{}', type=dict)
 
 
-def merge(current: msgspec.Struct, changes: dict) -> msgspec.Struct:
+def merge_changes(current: msgspec.Struct, changes: dict) -> msgspec.Struct:
     """Return a copy of a struct with some fields replaced.
 
     Raises:
--- a/standins/shapes.py
+++ b/standins/shapes.py
@@ -4,7 +4,7 @@
 
 from eelgrassknot.settings import examples
 
-__all__ = ['DAEMON_MODULE', 'Shape', 'shape_of', 'smaller']
+__all__ = ['ClusterShape', 'DAEMON_MODULE', 'minimal', 'shape_of']
 
 DAEMON_MODULE = 'eelgrassknot.daemon'
 LINK_BITS_PER_SECOND = 15_000_000.0
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Shape:
+class ClusterShape:
     """What a cluster consists of.
 
     Attributes:
@@ -38,10 +38,12 @@
     kv_tokens: int = 6_000
     step_ms: float = 15.0
     daemon_module: str = DAEMON_MODULE
-    text_changes: dict[str, object] = dataclasses.field(default_factory=dict)
+    services_text_changes: dict[str, object] = dataclasses.field(
+        default_factory=dict
+    )
 
 
-def shape_of(name: str, daemon_module: str = DAEMON_MODULE) -> Shape:
+def shape_of(name: str, daemon_module: str = DAEMON_MODULE) -> ClusterShape:
     """Return the shape of a deployment at the brief's sizes.
 
     Args:
@@ -52,7 +54,7 @@
     zones = [group.availability_zone for group in deployment.entry_vms]
     engine_counts = (2, 2, 1) if name == 'nadroga' else (2, 2, 2)
     delays = {'nadroga': 1.5, 'lagotermica': 0.5}
-    return Shape(
+    return ClusterShape(
         deployment,
         {g.availability_zone: g.count for g in deployment.entry_vms},
         dict(zip(zones, engine_counts, strict=True)),
@@ -62,7 +64,7 @@
     )
 
 
-def smaller(shape: Shape) -> Shape:
+def minimal(shape: ClusterShape) -> ClusterShape:
     """Return a shape with one VM of each kind in each zone."""
     one = dict.fromkeys(shape.entry_vms, 1)
     return dataclasses.replace(shape, entry_vms=one, engines=one, plains=one)
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -22,7 +22,7 @@
 
 def soak(
     minutes: float, seed: int, daemon_module: str
-) -> list[verdicts.Verdict]:
+) -> list[verdicts.RoundResult]:
     """Run rounds until the time is over.
 
     Args:
@@ -40,7 +40,7 @@
     return outcomes
 
 
-def _run(one: rounds.Round) -> verdicts.Verdict:
+def _run(one: rounds.Round) -> verdicts.RoundResult:
     verdict = _verdict(one)
     typer.echo(str(verdict))
     for served in verdict.served:
@@ -52,7 +52,7 @@
     return verdict
 
 
-def _verdict(one: rounds.Round) -> verdicts.Verdict:
+def _verdict(one: rounds.Round) -> verdicts.RoundResult:
     try:
         return one.run()
     except RuntimeError as error:
@@ -61,7 +61,7 @@
         return one.verdict((broken,))
 
 
-def _table(outcomes: list[verdicts.Verdict]) -> str:
+def _table(outcomes: list[verdicts.RoundResult]) -> str:
     counts: dict[str, list[int]] = collections.defaultdict(lambda: [0, 0])
     for verdict in outcomes:
         for name in verdict.faults:
--- a/standins/stream_caller.py
+++ b/standins/stream_caller.py
@@ -18,7 +18,7 @@
 READ_TIMEOUT_S = 10.0
 RESUME_PAUSE_S = 0.2
 LONG_PROMPT_BYTES = 4_000
-SHOWN_BYTES = 300
+MAX_RECORDED_BYTES = 300
 DATA = 'data: '
 EVENT_ID = 'id: '
 DONE = '[DONE]'
@@ -61,7 +61,7 @@
         self.generator = generator
         self.cursor = ''
         self.resumed = 0
-        self.leave_after: int | None = None
+        self.abandon_after: int | None = None
 
     def run(self, bearer: str) -> None:
         """Send the request and resume it for as long as it progresses."""
@@ -74,7 +74,9 @@
                 return
             if len(self.record.tokens) > progress:
                 progress = len(self.record.tokens)
-                until_s = time.monotonic() + self.callers.mix.patience_s
+                until_s = (
+                    time.monotonic() + self.callers.workload.resume_timeout_s
+                )
             if time.monotonic() > until_s:
                 return
             self.resumed += 1
@@ -82,7 +84,7 @@
 
     def _exchange(self, common: dict[str, str]) -> bool:
         """Send the request or resume it; return whether it is over."""
-        entry = self.callers.choose(self.generator)
+        entry = self.callers.choose_entry_point(self.generator)
         self.record.vms.append(entry.vm)
         connection = http.client.HTTPConnection(
             entry.address, timeout=FIRST_TOKEN_TIMEOUT_S
@@ -93,10 +95,10 @@
             if connection.sock is not None:
                 connection.sock.settimeout(READ_TIMEOUT_S)
             if answer.status != http.client.OK:
-                return self._refused(answer)
-            return self._read(answer)
+                return self._record_refusal(answer)
+            return self._read_events(answer)
         except (OSError, http.client.HTTPException, ValueError) as error:
-            self._note_cut(f'{type(error).__name__}: {error}')
+            self._record_loss(f'{type(error).__name__}: {error}')
             return False
         finally:
             connection.close()
@@ -121,7 +123,7 @@
     ) -> None:
         filler = 'log ' * self.generator.randrange(LONG_PROMPT_BYTES // 4)
         body = {
-            'model': self.callers.mix.model,
+            'model': self.callers.workload.model,
             'prompt': f'tokens={self.record.wanted_tokens} {filler}',
             'stream': stream,
         }
@@ -132,10 +134,10 @@
             {**common, 'Content-Type': 'application/json'},
         )
 
-    def run_whole(self, bearer: str) -> None:
+    def run_unstreamed(self, bearer: str) -> None:
         """Send the request without streaming; it is never repeated."""
         common = headers(bearer, self.record.request_id)
-        entry = self.callers.choose(self.generator)
+        entry = self.callers.choose_entry_point(self.generator)
         self.record.vms.append(entry.vm)
         connection = http.client.HTTPConnection(
             entry.address, timeout=FIRST_TOKEN_TIMEOUT_S
@@ -144,26 +146,26 @@
             self._post(connection, common, stream=False)
             answer = connection.getresponse()
             if answer.status != http.client.OK:
-                self._refused(answer)
+                self._record_refusal(answer)
                 return
-            self._take(answer.read())
+            self._record_tokens(answer.read())
             self.record.outcome = 'done'
         except (OSError, http.client.HTTPException) as error:
-            self._note_cut(f'{type(error).__name__}: {error}')
+            self._record_loss(f'{type(error).__name__}: {error}')
         finally:
             connection.close()
 
-    def _refused(self, answer: http.client.HTTPResponse) -> bool:
+    def _record_refusal(self, answer: http.client.HTTPResponse) -> bool:
         body = answer.read()
         outcome = answer.headers.get('X-Outcome', f'{answer.status}')
-        self.record.note = body.decode(errors='replace')[:SHOWN_BYTES]
+        self.record.note = body.decode(errors='replace')[:MAX_RECORDED_BYTES]
         if self.cursor and answer.status == http.client.SERVICE_UNAVAILABLE:
             return False
         # Delivered tokens stand, so a refused resume is no refusal.
         self.record.outcome = 'incomplete' if self.cursor else outcome
         return True
 
-    def _read(self, answer: http.client.HTTPResponse) -> bool:
+    def _read_events(self, answer: http.client.HTTPResponse) -> bool:
         is_error = False
         for raw in answer:
             line = raw.decode().rstrip('\r\n')
@@ -174,42 +176,42 @@
             elif line.startswith(DATA):
                 data = line.removeprefix(DATA)
                 if is_error:
-                    self._note_error(data)
+                    self._record_error(data)
                     return True
                 if data == DONE:
                     self.record.outcome = 'done'
                     return True
-                self._take(data)
-                if self._leaves():
+                self._record_tokens(data)
+                if self._should_abandon():
                     return True
-        self._note_cut('the stream ended without an end')
+        self._record_loss('the stream ended without an end')
         return False
 
-    def _note_cut(self, reason: str) -> None:
+    def _record_loss(self, reason: str) -> None:
         self.record.note = reason
         now_ms = self.callers.clock.now_ms()
         vm = self.record.vms[-1]
-        self.record.cuts.append(histories.Cut(vm, now_ms, reason))
+        self.record.cuts.append(histories.ConnectionLoss(vm, now_ms, reason))
 
-    def _note_error(self, data: str) -> None:
+    def _record_error(self, data: str) -> None:
         error = msgspec.json.decode(data)
         error = error.get('error', error)
         self.record.outcome = error.get('outcome', 'incomplete')
-        self.record.note = data[:SHOWN_BYTES]
+        self.record.note = data[:MAX_RECORDED_BYTES]
 
-    def _leaves(self) -> bool:
-        if self.leave_after is None:
+    def _should_abandon(self) -> bool:
+        if self.abandon_after is None:
             return False
-        if len(self.record.tokens) < self.leave_after:
+        if len(self.record.tokens) < self.abandon_after:
             return False
         self.record.outcome = 'left'
         return True
 
-    def _take(self, data: str | bytes) -> None:
+    def _record_tokens(self, data: str | bytes) -> None:
         chunk = msgspec.json.decode(data)
         text = chunk['choices'][0].get('text') or ''
         now_ms = self.callers.clock.now_ms()
         for word in text.split():
             self.record.tokens.append(
-                histories.Received(word, now_ms, self.resumed)
+                histories.ReceivedToken(word, now_ms, self.resumed)
             )
--- a/standins/table.py
+++ b/standins/table.py
@@ -2,7 +2,14 @@
 
 import msgspec
 
-__all__ = ['Condition', 'Failed', 'Row', 'Table', 'Transaction', 'Write']
+__all__ = [
+    'Condition',
+    'FailedCondition',
+    'Row',
+    'Table',
+    'Transaction',
+    'Write',
+]
 
 
 class Condition(msgspec.Struct):
@@ -29,7 +36,7 @@
     writes: list[Write]
 
 
-class Failed(msgspec.Struct):
+class FailedCondition(msgspec.Struct):
     """First row whose condition did not hold, with its version."""
 
     table: str
@@ -60,7 +67,9 @@
         self.rows: dict[tuple[str, str], Row] = {}
         self.last_versions: dict[tuple[str, str], int] = {}
 
-    def commit(self, transaction: Transaction) -> dict[str, int] | Failed:
+    def commit(
+        self, transaction: Transaction
+    ) -> dict[str, int] | FailedCondition:
         """Check all conditions, then apply all writes.
 
         Returns:
@@ -70,7 +79,7 @@
             row = self.get(condition.table, condition.key)
             version = None if row is None else row.version
             if version != condition.version:
-                return Failed(condition.table, condition.key, version)
+                return FailedCondition(condition.table, condition.key, version)
         return {
             f'{write.table}/{write.key}': self._write(write)
             for write in transaction.writes
--- a/standins/topology.py
+++ b/standins/topology.py
@@ -44,7 +44,7 @@
         addresses: Where the proxy listens for each link.
     """
 
-    def __init__(self, shape: shapes.Shape) -> None:
+    def __init__(self, shape: shapes.ClusterShape) -> None:
         self.shape = shape
         self.addresses: dict[str, str] = {}
         self.regions = {
@@ -52,7 +52,7 @@
             for group in shape.deployment.entry_vms
         }
 
-    def orders(
+    def link_requests(
         self, platform: str, upstreams: Upstreams, settings: Settings
     ) -> list[dict]:
         """Return the listeners that the proxy is to open.
@@ -65,30 +65,32 @@
         platform_zone = next(iter(self.regions))
         orders = []
         for zone in self.regions:
-            orders.append(self._order(zone, platform_zone, PLATFORM, platform))
+            orders.append(
+                self._link_request(zone, platform_zone, PLATFORM, platform)
+            )
             for upstream in upstreams.values():
                 target_zone = upstream.availability_zone
                 address = upstream.child.address
                 orders.append(
-                    self._order(zone, target_zone, upstream.vm, address)
+                    self._link_request(zone, target_zone, upstream.vm, address)
                 )
         for vm, each in settings.items():
-            orders += self._entry_orders(vm, each)
+            orders += self._entry_link_requests(vm, each)
         return orders
 
-    def _entry_orders(
+    def _entry_link_requests(
         self, vm: str, settings: vm_settings.VmSettings
     ) -> list[dict]:
         target_zone = settings.availability_zone
         listen = settings.listen
         orders = [
-            self._order(zone, target_zone, vm, listen.peers)
+            self._link_request(zone, target_zone, vm, listen.peers)
             for zone in self.regions
         ]
         name = f'{CALLERS}>{target_zone}>{vm}'
         return [*orders, {'name': name, 'target': listen.callers}]
 
-    def _order(
+    def _link_request(
         self, zone: str, target_zone: str, vm: str, address: str
     ) -> dict:
         crosses = self.regions[zone] != self.regions[target_zone]
--- a/standins/users_platform.py
+++ b/standins/users_platform.py
@@ -42,8 +42,8 @@
         self.run_times: dict[str, list[tuple[str, float]]] = (
             collections.defaultdict(list)
         )
-        self.lost_answers = 0
-        self.oldest = 0
+        self.answers_to_lose = 0
+        self.oldest_change = 0
         self.upstreams: dict[str, 'Upstream'] = {}
         self.copies: dict[tuple[str, str], str] = {}
         self.server = users_http.Server(self, users_store.StoreHandler)
@@ -74,7 +74,7 @@
         """Start a server, on any port if it is 0, and list it."""
         upstream = Upstream(self, name, service, port)
         self.upstreams[upstream.address] = upstream
-        upstream.tell('ready')
+        upstream.publish_state('ready')
         return upstream
 
     def stop(self) -> None:
@@ -83,7 +83,7 @@
             upstream.server.stop()
         self.server.stop()
 
-    def note_run(self, request: str, upstream: str) -> None:
+    def record_run(self, request: str, upstream: str) -> None:
         """Count a run of a request."""
         self.runs[request] += 1
         self.run_times[request].append((upstream, time.monotonic()))
@@ -135,7 +135,7 @@
         """Address of the server."""
         return self.server.address
 
-    def tell(self, state: str, address: str | None = None) -> None:
+    def publish_state(self, state: str, address: str | None = None) -> None:
         """Write the server's entry, with another address if one is given."""
         entry = {
             'service': self.service,
--- a/standins/users_store.py
+++ b/standins/users_store.py
@@ -29,13 +29,13 @@
                     for (name, key), value in sorted(platform.rows.items())
                     if name == table
                 ]
-            self.tell(rows)
+            self.send_rows(rows)
         else:
             self.feed(table, int(query['afterRev']), float(query['waitMs']))
 
     def feed(self, table: str, after: int, wait_ms: float) -> None:
         platform = self.server.owner
-        if after < platform.oldest:
+        if after < platform.oldest_change:
             self.answer(410, {}, b'')
             return
         end_s = time.monotonic() + wait_ms / 1_000
@@ -46,7 +46,7 @@
         if platform.is_down:
             self.answer(503, {}, b'')
         else:
-            self.tell(rows)
+            self.send_rows(rows)
 
     def do_POST(self) -> None:
         platform = self.server.owner
@@ -57,19 +57,19 @@
         for wanted in body['expectedRev']:
             row = platform.rows.get((wanted['table'], wanted['key']))
             if (row[1] if row else 0) != wanted['ver']:
-                self.tell([], 412)
+                self.send_rows([], 412)
                 return
         for entry in body['writes']:
             value = base64.b64decode(entry['value'])
             platform.put(entry['table'], entry['key'], value)
         for entry in body['deletes']:
             platform.put(entry['table'], entry['key'], None)
-        self.tell([])
+        self.send_rows([])
 
-    def tell(self, rows: list[dict], status: int = 200) -> None:
+    def send_rows(self, rows: list[dict], status: int = 200) -> None:
         platform = self.server.owner
-        if platform.lost_answers > 0:
-            platform.lost_answers -= 1
+        if platform.answers_to_lose > 0:
+            platform.answers_to_lose -= 1
             self.close_connection = True
             return
         document = {
--- a/standins/users_upstream.py
+++ b/standins/users_upstream.py
@@ -42,7 +42,7 @@
         elif upstream.service == 'writer':
             self.stream(request)
         else:
-            upstream.platform.note_run(request, upstream.name)
+            upstream.platform.record_run(request, upstream.name)
             self.call(request, fault, body)
 
     def call(self, request: str, fault: str, body: bytes) -> None:
@@ -85,7 +85,7 @@
                 self.answer(503, {'Not-Executed': '1'}, b'')
                 return
         else:
-            upstream.platform.note_run(request, upstream.name)
+            upstream.platform.record_run(request, upstream.name)
         copy_to = self.headers['Kv-Backup']
         if copy_to is not None:
             key = (copy_to, f'{copy_to}/{request}')
--- a/standins/verdict.py
+++ b/standins/verdict.py
@@ -7,11 +7,11 @@
 from standins import checkers
 from standins import degradation
 
-__all__ = ['Verdict']
+__all__ = ['RoundResult']
 
 
 @dataclasses.dataclass(frozen=True)
-class Verdict:
+class RoundResult:
     """What came of a round."""
 
     seed: int
@@ -22,7 +22,7 @@
     violations: tuple[checkers.Violation, ...]
     seconds: float
     trace: pathlib.Path
-    served: tuple[degradation.Served, ...]
+    served: tuple[degradation.OutcomeSummary, ...]
 
     def __str__(self) -> str:
         word = 'violated' if self.violations else 'held'
--- a/tests/entry_soak.py
+++ b/tests/entry_soak.py
@@ -69,11 +69,11 @@
         name = f'{service}-{next(self.numbers)}'
         server = users_platform.Upstream(self.platform, name, service, 0)
         self.servers[name] = server
-        server.tell('ready', self.open_link(name, server.address))
+        server.publish_state('ready', self.open_link(name, server.address))
 
     def open_link(self, name, target):
         """Return the address of a new link through the proxy."""
-        order = proxy_loop.LinkOrder(f'{name}/', target)
+        order = proxy_loop.LinkRequest(f'{name}/', target)
         opened = self.proxy.call(lambda: self.proxy.open_links([order]))
         return opened[f'{name}/']
 
@@ -185,7 +185,7 @@
     def set_link(self, name, **fault):
         """Set faults of a link."""
         # Names are matched by their parts; the slash ends each.
-        order = proxy_loop.FaultOrder([f'{name}/'], **fault)
+        order = proxy_loop.FaultRequest([f'{name}/'], **fault)
         self.proxy.call(lambda: self.proxy.set_faults(order))
 
     def store_away(self):
@@ -200,9 +200,9 @@
     def store_loses(self):
         """Lose answers of the store, or its history."""
         if self.generator.random() < 0.5:
-            self.platform.lost_answers = self.generator.randint(1, 5)
+            self.platform.answers_to_lose = self.generator.randint(1, 5)
         else:
-            self.platform.oldest = self.platform.version + 1
+            self.platform.oldest_change = self.platform.version + 1
 
     def change_servers(self):
         """Have a server leave, crash or lapse, and start another."""
@@ -211,7 +211,7 @@
         self.start_server(server.service)
         how = self.generator.choice(('leave', 'crash', 'lapse'))
         if how == 'leave':
-            server.tell('draining')
+            server.publish_state('draining')
         elif how == 'lapse':
             self.platform.put('servers', name, None)
         else:
@@ -243,7 +243,7 @@
     def heal(self):
         """End all faults of links and the store."""
         self.store_back()
-        self.platform.lost_answers = 0
+        self.platform.answers_to_lose = 0
         for name in self.proxy.links:
             self.set_link(
                 name.rstrip('/'), black_hole='none', reset=True, delay_ms=0.0
--- a/tests/steps/forwarding_faults.py
+++ b/tests/steps/forwarding_faults.py
@@ -19,13 +19,13 @@
     if not hasattr(context, 'proxy'):
         context.proxy = proxy_loop.ProxyLoop()
         threading.Thread(target=context.proxy.run, daemon=True).start()
-    order = proxy_loop.LinkOrder(name, target)
+    order = proxy_loop.LinkRequest(name, target)
     opened = context.proxy.call(lambda: context.proxy.open_links([order]))
     return opened[name]
 
 
 def _set_fault(context, name, fault):
-    order = proxy_loop.FaultOrder(
+    order = proxy_loop.FaultRequest(
         [name], black_hole=fault, reset=fault == 'none'
     )
     context.proxy.call(lambda: context.proxy.set_faults(order))
@@ -223,7 +223,7 @@
         SOON_S,
         'the server is gone',
     )
-    desk.tell('ready', address)
+    desk.publish_state('ready', address)
     entry_process.wait_until(
         lambda: f'address={address}' in context.entry.log(),
         SOON_S,
--- a/tests/steps/forwarding_whole_path.py
+++ b/tests/steps/forwarding_whole_path.py
@@ -225,7 +225,9 @@
     'leaves'
 )
 def stream_leave(context, count):
-    caller = _read_stream(context, count, lambda e, _: e.tell('draining'))
+    caller = _read_stream(
+        context, count, lambda e, _: e.publish_state('draining')
+    )
     context.answer = caller.read()
 
 
--- a/tests/steps/standins_checkers.py
+++ b/tests/steps/standins_checkers.py
@@ -15,7 +15,7 @@
 
 def _token(request, generation, index):
     text = engine_model.token_text(request, generation, index).strip()
-    return histories.Received(text, 100.0 + index)
+    return histories.ReceivedToken(text, 100.0 + index)
 
 
 def _sound():
@@ -45,11 +45,11 @@
             histories.Execution('p1', 'c5', None, 'GET', 10.0),
             histories.Execution('p2', 'c5', None, 'GET', 11.0),
         ],
-        leaving=[histories.Leaving('e1', 8.0, 1e9)],
+        leaving=[histories.UpstreamDeparture('e1', 8.0, 1e9)],
         configs=[
-            histories.ConfigSeen('nadi-1', 'i1', 2, 10.0),
-            histories.ConfigSeen('nadi-1', 'i2', 1, 20.0),
-            histories.ConfigSeen('nadi-1', 'i2', 2, 90.0),
+            histories.ConfigObservation('nadi-1', 'i1', 2, 10.0),
+            histories.ConfigObservation('nadi-1', 'i2', 1, 20.0),
+            histories.ConfigObservation('nadi-1', 'i2', 2, 90.0),
         ],
         accepted={'2': 5.0},
         drained={'nadi-2': 0},
@@ -101,11 +101,11 @@
 
 
 def _behind(h):
-    h.configs.append(histories.ConfigSeen('nadi-3', 'i4', 1, 20_000.0))
+    h.configs.append(histories.ConfigObservation('nadi-3', 'i4', 1, 20_000.0))
 
 
 def _fall(h):
-    h.configs.append(histories.ConfigSeen('nadi-1', 'i2', 1, 95.0))
+    h.configs.append(histories.ConfigObservation('nadi-1', 'i2', 1, 95.0))
 
 
 BREAKS = {
--- a/tests/steps/standins_engine_model.py
+++ b/tests/steps/standins_engine_model.py
@@ -19,22 +19,18 @@
 
 
 def _run(engine, limit_ms=600_000.0):
-    happenings = engine.advance(limit_ms)
+    events = engine.advance(limit_ms)
     assert not engine.running and not engine.waiting
-    return happenings
+    return events
 
 
-def _ends(happenings):
-    return [
-        h.generation for h in happenings if isinstance(h, engine_model.Ended)
-    ]
+def _ends(events):
+    return [h.generation for h in events if isinstance(h, engine_model.Ended)]
 
 
-def _victims(happenings):
+def _victims(events):
     return {
-        h.generation
-        for h in happenings
-        if isinstance(h, engine_model.Preempted)
+        h.generation for h in events if isinstance(h, engine_model.Preempted)
     }
 
 
@@ -57,9 +53,9 @@
         now_ms = 0.0
         while engine.running or engine.waiting:
             now_ms += 10.0
-            for happening in engine.advance(now_ms):
-                if isinstance(happening, engine_model.Token):
-                    seen[happening.generation].append(happening.index)
+            for event in engine.advance(now_ms):
+                if isinstance(event, engine_model.Token):
+                    seen[event.generation].append(event.index)
             alone = len(engine.running) == 1
             assert alone or engine.kv_tokens_used() <= kv_tokens
             assert now_ms < 1_000_000
@@ -99,9 +95,9 @@
 
 @behave.then('"{victim}" is preempted and "{first}" ends first')
 def preempted(context, victim, first):
-    happenings = _run(context.engine)
-    assert _victims(happenings) == {victim}
-    assert _ends(happenings)[0] == first
+    events = _run(context.engine)
+    assert _victims(events) == {victim}
+    assert _ends(events)[0] == first
 
 
 @behave.then('both end with {tokens:d} tokens')
--- a/tests/steps/standins_fault_proxy.py
+++ b/tests/steps/standins_fault_proxy.py
@@ -36,7 +36,7 @@
     threading.Thread(target=_echo, args=(listener,), daemon=True).start()
     context.loop = proxy_loop.ProxyLoop()
     threading.Thread(target=context.loop.run, daemon=True).start()
-    order = proxy_loop.LinkOrder(
+    order = proxy_loop.LinkRequest(
         'a>b>echo', f'127.0.0.1:{listener.getsockname()[1]}', 'narrow'
     )
     opened = context.loop.call(lambda: context.loop.open_links([order]))
@@ -45,7 +45,7 @@
 
 
 def _fault(context, **faults):
-    order = proxy_loop.FaultOrder(['>echo'], **faults)
+    order = proxy_loop.FaultRequest(['>echo'], **faults)
     context.loop.call(lambda: context.loop.set_faults(order))
 
 
--- a/tests/steps/standins_table.py
+++ b/tests/steps/standins_table.py
@@ -46,7 +46,7 @@
             met = all(
                 model.get(k, (None, None))[1] == v for k, v in conditions
             )
-            assert met != isinstance(outcome, tables.Failed)
+            assert met != isinstance(outcome, tables.FailedCondition)
             if met:
                 _apply(model, writes, outcome, used)
         rows = {r['key']: r for r in table.scan('t', '', '', None)}
--- a/tests/steps/standins_wire.py
+++ b/tests/steps/standins_wire.py
@@ -23,7 +23,7 @@
         [f'standins.{module}', '--listen', '127.0.0.1:0', *arguments],
         DIRECTORY,
     )
-    context.add_cleanup(child.end)
+    context.add_cleanup(child.kill)
     context.address = processes.wait_listening(child)
 
 
--- a/tests/steps/system_openai_client.py
+++ b/tests/steps/system_openai_client.py
@@ -22,7 +22,7 @@
 
 @behave.given('a small deployment and an OpenAI client of an account')
 def given_client(context):
-    shape = shapes.smaller(shapes.shape_of('nadroga'))
+    shape = shapes.minimal(shapes.shape_of('nadroga'))
     context.cluster = clusters.Cluster(shape, DIRECTORY, seed=1)
     context.add_cleanup(context.cluster.close)
     context.cluster.start()
--- a/tests/steps/system_rounds.py
+++ b/tests/steps/system_rounds.py
@@ -26,7 +26,7 @@
         DIRECTORY,
         tuple(faults.split(',')),
         deployment=deployment,
-        pace=rounds.BRIEF,
+        profile=rounds.SHORT_PROFILE,
         is_small=True,
     ).run()
 
@@ -52,7 +52,7 @@
 @behave.when('a small round runs with daemons that have all defects')
 def run_broken_round(context):
     context.fired = controls.run_control(
-        ALL_DEFECTS, ALL_FAULTS, rounds.BRIEF, is_small=True
+        ALL_DEFECTS, ALL_FAULTS, rounds.SHORT_PROFILE, is_small=True
     )
 
 
--- a/tests/system/controls.py
+++ b/tests/system/controls.py
@@ -15,7 +15,7 @@
 DIRECTORY = pathlib.Path('run/controls')
 MODULE = 'tests.system.broken_daemon'
 SEED = 4
-FULL_PACE = rounds.Pace()
+FULL_PACE = rounds.LoadProfile()
 
 # The faults that bring each defect out, and the checkers that see it.
 CONTROLS = {
@@ -32,7 +32,7 @@
 def run_control(
     defects: tuple[str, ...],
     faults: tuple[str, ...],
-    pace: rounds.Pace = FULL_PACE,
+    pace: rounds.LoadProfile = FULL_PACE,
     is_small: bool = False,
 ) -> set[str]:
     """Run a round with broken daemons; return the checkers that fired."""
