--- a/eelgrassknot/cli/commands/status.py
+++ b/eelgrassknot/cli/commands/status.py
@@ -123,7 +123,7 @@
     url = f'http://{address}/status'
     reason = f'no answer from {address}'
     match http_client.request('GET', url, timeout_ms=TIMEOUT_MS):
-        case result.Ok(http_client.HttpAnswer(status=200, body=body)):
+        case result.Ok(http_client.HttpResponse(status=200, body=body)):
             found = _read_document(body)
             if found is not None and found.vm == vm.vm:
                 return _answered(vm, found, body, version)
--- a/eelgrassknot/coordination/order_part.py
+++ b/eelgrassknot/coordination/order_part.py
@@ -279,7 +279,7 @@
             timeout_ms=STATE_TIMEOUT_MS,
         )
         match answer:
-            case result.Ok(http_client.HttpAnswer(status=200, body=body)):
+            case result.Ok(http_client.HttpResponse(status=200, body=body)):
                 try:
                     state = msgspec.json.decode(body, type=orders.HeldState)
                 except msgspec.MsgspecError as error:
@@ -295,12 +295,12 @@
 
 
 def _order_state(
-    answer: result.Result[http_client.HttpAnswer, exceptions.UpstreamError],
+    answer: result.Result[http_client.HttpResponse, exceptions.UpstreamError],
 ) -> order_rows.OrderState:
     match answer:
-        case result.Ok(http_client.HttpAnswer(status=202)):
+        case result.Ok(http_client.HttpResponse(status=202)):
             return order_rows.OrderState.TAKEN
-        case result.Ok(http_client.HttpAnswer(status=409)):
+        case result.Ok(http_client.HttpResponse(status=409)):
             return order_rows.OrderState.STALE
         case result.Ok(_):
             return order_rows.OrderState.REFUSED
--- a/eelgrassknot/daemon.py
+++ b/eelgrassknot/daemon.py
@@ -28,7 +28,7 @@
 __all__ = ['create_node', 'main', 'serve']
 
 EXECUTOR_THREADS = 16
-BALANCER_LAG_MS = 2_000
+BALANCER_DETECTION_MS = 2_000
 
 _PLUGIN_PACKAGES = (
     'eelgrassknot.storage',
@@ -82,7 +82,7 @@
     node.state = states.DaemonState.DRAINING
     logs.event('draining', vm=node.settings.vm)
     # The balancer goes on sending until it has seen that we are not ready.
-    threading.Event().wait(BALANCER_LAG_MS / 1000)
+    threading.Event().wait(BALANCER_DETECTION_MS / 1000)
     node.part_set.drain()
     node.part_set.stop()
     node.executor.shutdown()
@@ -100,7 +100,7 @@
     """Run the daemon of an entry VM."""
     try:
         if check:
-            _check(settings)
+            _check_settings(settings)
             return
         loaded = vm_settings.load(settings)
         for key in (*loaded.cursor_keys, *loaded.peer_keys):
@@ -123,7 +123,7 @@
         os._exit(1)
 
 
-def _check(path: str) -> None:
+def _check_settings(path: str) -> None:
     """Print all faults of the settings, or that there are none."""
     found = settings_check.check_vm(vm_settings.read_document(path))
     for fault in found:
--- a/eelgrassknot/forwarding/state_check.py
+++ b/eelgrassknot/forwarding/state_check.py
@@ -29,13 +29,13 @@
 def _route_faults(state: model.DeploymentState) -> list[faults.Fault]:
     found = []
     for route in state.routes:
-        path = f'$.routes[{faults.quoted(route.name)}]'
+        path = f'$.routes[{faults.quote(route.name)}]'
         found += _share_faults(path, route, state)
         if not (route.prefix.startswith('/') and route.prefix.endswith('/')):
             found.append(
                 faults.Fault(
-                    faults.child(path, 'prefix'),
-                    f'{faults.quoted(route.prefix)} does not begin and end '
+                    faults.field_path(path, 'prefix'),
+                    f'{faults.quote(route.prefix)} does not begin and end '
                     'with a slash',
                     'write the prefix between slashes',
                 )
@@ -43,7 +43,7 @@
         if route.timeout_ms <= 0:
             found.append(
                 faults.Fault(
-                    faults.child(path, 'timeout'),
+                    faults.field_path(path, 'timeout'),
                     'no request can be answered in no time',
                     'write a number of milliseconds above 0',
                 )
@@ -51,7 +51,7 @@
         elif route.objective_ms > route.timeout_ms:
             found.append(
                 faults.Fault(
-                    faults.child(path, 'objective'),
+                    faults.field_path(path, 'objective'),
                     'the objective is beyond the timeout',
                     'raise the timeout or lower the objective',
                 )
@@ -81,7 +81,7 @@
             found.append(
                 faults.Fault(
                     path,
-                    f'the service {faults.quoted(share.service)} is unknown',
+                    f'the service {faults.quote(share.service)} is unknown',
                     'add that service, or name another',
                 )
             )
@@ -89,7 +89,7 @@
             found.append(
                 faults.Fault(
                     path,
-                    f'{faults.quoted(share.service)} has no engines, but the '
+                    f'{faults.quote(share.service)} has no engines, but the '
                     'route is for streams',
                     'describe its engines, or change the kind of the route',
                 )
@@ -107,8 +107,8 @@
         if first != route.name:
             found.append(
                 faults.Fault(
-                    f'$.routes[{faults.quoted(route.name)}]',
-                    f'{faults.quoted(first)} has the same host and prefix',
+                    f'$.routes[{faults.quote(route.name)}]',
+                    f'{faults.quote(first)} has the same host and prefix',
                     'remove one of the two, or change its prefix',
                 )
             )
@@ -124,7 +124,7 @@
     shared = {tuple(sorted(names)) for names in holders.values()}
     return [
         faults.Fault(
-            f'$.accounts[{faults.quoted(names[0])}]',
+            f'$.accounts[{faults.quote(names[0])}]',
             f'a key belongs to {", ".join(names[1:])} as well',
             'give each account keys of its own',
         )
--- a/eelgrassknot/frontend/plain_calls.py
+++ b/eelgrassknot/frontend/plain_calls.py
@@ -239,7 +239,7 @@
         headers['X-Request-Id'] = self.context.request
         return headers
 
-    def _take(self, done: http_client.HttpAnswer) -> messages.Answer:
+    def _take(self, done: http_client.HttpResponse) -> messages.Answer:
         self.bytes_in += len(done.body)
         echoed = done.headers.get('x-request-id')
         if echoed is not None and echoed != self.context.request:
--- a/eelgrassknot/log_writer.py
+++ b/eelgrassknot/log_writer.py
@@ -15,7 +15,7 @@
 QUEUE_LINES = 4_000
 RESERVED_LINES = 1_000
 """Places in the queue that ordinary lines do not take."""
-REPORT_S = 1.0
+RATE_WINDOW_S = 1.0
 _ORDINARY = 'level=INFO'
 
 
@@ -48,9 +48,9 @@
         self.lines_per_s = lines_per_s
         self.clock = clock
         self.lines: queue.Queue[str | None] = queue.Queue(QUEUE_LINES)
-        self.second = 0
-        self.written = 0
-        self.left_out = 0
+        self.current_second = 0
+        self.written_this_second = 0
+        self.dropped = 0
         self.lock = threading.Lock()
         self.thread = threading.Thread(
             target=self._run, name='log-writer', daemon=True
@@ -61,16 +61,16 @@
         """Take a line; leave it out if there are too many."""
         ordinary = _ORDINARY in text
         with self.lock:
-            second = int(self.clock() / REPORT_S)
-            if second != self.second:
-                self.second, self.written = second, 0
-                self._report()
-            over = self.written >= self.lines_per_s
+            second = int(self.clock() / RATE_WINDOW_S)
+            if second != self.current_second:
+                self.current_second, self.written_this_second = second, 0
+                self._report_dropped()
+            over = self.written_this_second >= self.lines_per_s
             full = self.lines.qsize() >= QUEUE_LINES - RESERVED_LINES
             if ordinary and (over or full):
-                self.left_out += 1
+                self.dropped += 1
                 return len(text)
-            self.written += 1
+            self.written_this_second += 1
             self._put(text)
         return len(text)
 
@@ -80,20 +80,20 @@
     def close(self, timeout_s: float = 1.0) -> None:
         """Write what is there, but do not wait long for a reader."""
         with self.lock:
-            self._report()
+            self._report_dropped()
             self._put(None)
         self.thread.join(timeout_s)
 
-    def _report(self) -> None:
-        if self.left_out:
-            count, self.left_out = self.left_out, 0
+    def _report_dropped(self) -> None:
+        if self.dropped:
+            count, self.dropped = self.dropped, 0
             self._put(f'level=WARNING event=lines_left_out count={count}\n')
 
     def _put(self, line: str | None) -> None:
         try:
             self.lines.put_nowait(line)
         except queue.Full:
-            self.left_out += 1
+            self.dropped += 1
 
     def _run(self) -> None:
         while True:
@@ -110,4 +110,4 @@
             self.stream.write(line)
         except (OSError, ValueError):
             # The reader has gone; there is nowhere left to say so.
-            self.left_out += 1
+            self.dropped += 1
--- a/eelgrassknot/logs.py
+++ b/eelgrassknot/logs.py
@@ -77,7 +77,7 @@
         'event=started vm=nadi-1 why="a b"'
     """
     parts = [f'event={name}']
-    parts += [f'{key}={_quote(value)}' for key, value in pairs.items()]
+    parts += [f'{key}={_format_value(value)}' for key, value in pairs.items()]
     return ' '.join(parts)
 
 
@@ -124,7 +124,7 @@
         self.converter = time.gmtime
 
 
-def _quote(value: object) -> str:
+def _format_value(value: object) -> str:
     text = str(value)
     if text and _PLAIN_CHARACTERS.issuperset(text):
         return text
--- a/eelgrassknot/settings/entry.py
+++ b/eelgrassknot/settings/entry.py
@@ -8,11 +8,11 @@
 __all__ = ['Addresses', 'EntrySettings', 'Rules', 'load']
 
 
-class _Checked(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class _StrictStruct(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """An unknown or missing field is an error that names it."""
 
 
-class Addresses(_Checked):
+class Addresses(_StrictStruct):
     """Addresses, as ``IP:port``.
 
     Attributes:
@@ -30,7 +30,7 @@
     store: str
 
 
-class Rules(_Checked):
+class Rules(_StrictStruct):
     """Bounds of the deployment, as its platform sets them.
 
     Attributes:
@@ -56,7 +56,7 @@
     retry_window_s: float
 
 
-class EntrySettings(_Checked):
+class EntrySettings(_StrictStruct):
     """What an entry VM needs before it reaches anything.
 
     Attributes:
--- a/eelgrassknot/settings/examples.py
+++ b/eelgrassknot/settings/examples.py
@@ -13,7 +13,7 @@
 __all__ = ['DEPLOYMENTS', 'Deployment', 'Example', 'create']
 
 KEY_BYTES = 32
-PORTS_A_VM = 3
+PORTS_PER_VM = 3
 LARGE_WEIGHT = 4.0
 LARGE_REQUESTS_PER_SECOND = 20.0
 LARGE_TOKENS_PER_MINUTE = 120_000.0
@@ -151,20 +151,21 @@
         first_port: The VMs take three ports each from this one on.
     """
     names = deployment.large_accounts + deployment.small_accounts
-    keys = {ids.ClientAccountId(name): _secret() for name in names}
+    account_keys = {ids.ClientAccountId(name): _secret() for name in names}
     text = services_text.ServicesText(
         deployment=deployment.name,
         regions=_regions(deployment),
         services=deployment.services,
         client_accounts=tuple(
-            _account(deployment, name, key) for name, key in keys.items()
+            _account(deployment, name, key)
+            for name, key in account_keys.items()
         ),
         region_link=services_text.RegionLink(
             price_per_gigabyte=PRICE_PER_GIGABYTE
         ),
     )
     settings = _settings(deployment, platform_url, host, first_port)
-    return Example(text, settings, keys)
+    return Example(text, settings, account_keys)
 
 
 def _secret() -> str:
@@ -205,7 +206,7 @@
         for group in deployment.entry_vms
         for number in range(1, group.count + 1)
     ]
-    ports = [first_port + index * PORTS_A_VM for index in range(len(names))]
+    ports = [first_port + index * PORTS_PER_VM for index in range(len(names))]
     peers = [f'{host}:{port + 2}' for port in ports]
     return tuple(
         vm_settings.VmSettings(
--- a/eelgrassknot/settings/ranges.py
+++ b/eelgrassknot/settings/ranges.py
@@ -8,9 +8,15 @@
 
 from eelgrassknot.settings import faults
 
-__all__ = ['Bound', 'entries', 'field', 'range_faults', 'text_value']
-
-MAX_WHOLE_NUMBER = 2**53
+__all__ = [
+    'Bound',
+    'array_items',
+    'get_field',
+    'range_faults',
+    'string_or_none',
+]
+
+MAX_INTEGER = 2**53
 MAX_NAME_CHARACTERS = 200
 
 _KEY_HASH = re.compile(r'[0-9a-f]{64}')
@@ -22,12 +28,12 @@
 class Bound:
     """The least value of a number, and whether it is itself allowed."""
 
-    least: float
-    allowed: bool = False
+    minimum: float
+    inclusive: bool = False
 
 
 _POSITIVE = Bound(0.0)
-_NOT_NEGATIVE = Bound(0.0, allowed=True)
+_NOT_NEGATIVE = Bound(0.0, inclusive=True)
 
 _TOP_LEVEL_BOUNDS = {
     'region_link': {
@@ -53,23 +59,23 @@
 Entries = collections.abc.Iterator[tuple[typing.Any, str]]
 
 
-def field(value: typing.Any, name: str) -> typing.Any:
+def get_field(value: typing.Any, name: str) -> typing.Any:
     """Return a field's value, or None where there is none."""
     if isinstance(value, dict):
         return value.get(name)
     return None
 
 
-def entries(value: typing.Any, name: str, path: str) -> Entries:
+def array_items(value: typing.Any, name: str, path: str) -> Entries:
     """Yield the elements of an array field with their JSON paths."""
-    listing = field(value, name)
-    if isinstance(listing, list):
-        place = faults.child(path, name)
-        for index, entry in enumerate(listing):
-            yield entry, faults.element(place, index)
+    items = get_field(value, name)
+    if isinstance(items, list):
+        location = faults.field_path(path, name)
+        for index, item in enumerate(items):
+            yield item, faults.item_path(location, index)
 
 
-def text_value(value: typing.Any) -> str | None:
+def string_or_none(value: typing.Any) -> str | None:
     """Return a value if it is a string, else None."""
     return value if isinstance(value, str) else None
 
@@ -80,35 +86,35 @@
     Args:
         document: The parsed text; it may be of any shape.
     """
-    if field(document, 'deployment') == '':
-        place = faults.child(faults.ROOT, 'deployment')
-        yield faults.Fault(place, 'the name is empty', 'write a name')
+    if get_field(document, 'deployment') == '':
+        location = faults.field_path(faults.ROOT, 'deployment')
+        yield faults.Fault(location, 'the name is empty', 'write a name')
     for name, bounds in _TOP_LEVEL_BOUNDS.items():
-        place = faults.child(faults.ROOT, name)
-        yield from _number_faults(field(document, name), bounds, place)
+        location = faults.field_path(faults.ROOT, name)
+        yield from _number_faults(get_field(document, name), bounds, location)
     yield from _region_faults(document)
-    for service, path in entries(document, 'services', faults.ROOT):
+    for service, path in array_items(document, 'services', faults.ROOT):
         yield from _service_faults(service, path)
-    for account, path in entries(document, 'client_accounts', faults.ROOT):
+    for account, path in array_items(document, 'client_accounts', faults.ROOT):
         yield from _account_faults(account, path)
 
 
 def _region_faults(document: typing.Any) -> Faults:
-    if field(document, 'regions') == []:
-        place = faults.child(faults.ROOT, 'regions')
+    if get_field(document, 'regions') == []:
+        location = faults.field_path(faults.ROOT, 'regions')
         yield faults.Fault(
-            place, 'there is no region', 'list at least one region'
+            location, 'there is no region', 'list at least one region'
         )
-    for region, path in entries(document, 'regions', faults.ROOT):
+    for region, path in array_items(document, 'regions', faults.ROOT):
         yield from _name_faults(region, 'region', path)
-        if field(region, 'availability_zones') == []:
+        if get_field(region, 'availability_zones') == []:
             yield faults.Fault(
-                faults.child(path, 'availability_zones'),
+                faults.field_path(path, 'availability_zones'),
                 'the region has no availability zone',
                 'list at least one availability zone',
             )
-        for zone, place in entries(region, 'availability_zones', path):
-            yield from _name_value_faults(zone, place)
+        for zone, location in array_items(region, 'availability_zones', path):
+            yield from _name_value_faults(zone, location)
 
 
 def _service_faults(service: typing.Any, path: str) -> Faults:
@@ -116,57 +122,57 @@
     yield from _number_faults(service, _SERVICE_BOUNDS, path)
     yield from _objective_faults(service, path)
     yield from _kind_faults(service, path)
-    for call, place in entries(service, 'calls', path):
-        yield from _call_faults(call, place)
+    for call, location in array_items(service, 'calls', path):
+        yield from _call_faults(call, location)
 
 
 def _objective_faults(service: typing.Any, path: str) -> Faults:
-    objective = field(service, 'objective')
-    place = faults.child(path, 'objective')
-    yield from _number_faults(objective, _OBJECTIVE_BOUNDS, place)
-    weights = [field(objective, name) for name in _OBJECTIVE_BOUNDS]
+    objective = get_field(service, 'objective')
+    location = faults.field_path(path, 'objective')
+    yield from _number_faults(objective, _OBJECTIVE_BOUNDS, location)
+    weights = [get_field(objective, name) for name in _OBJECTIVE_BOUNDS]
     if all(weight == 0 for weight in weights):
         yield faults.Fault(
-            place,
+            location,
             'all weights are zero',
             'give at least one of them a weight above zero',
         )
 
 
 def _kind_faults(service: typing.Any, path: str) -> Faults:
-    kind = field(service, 'kind')
-    if kind == 'engine' and field(service, 'model') is None:
+    kind = get_field(service, 'kind')
+    if kind == 'engine' and get_field(service, 'model') is None:
         yield faults.Fault(
-            faults.child(path, 'model'),
+            faults.field_path(path, 'model'),
             'a service of kind "engine" has no model',
             'name the model that its engines are to hold',
         )
-    if kind == 'engine' and field(service, 'calls'):
+    if kind == 'engine' and get_field(service, 'calls'):
         yield faults.Fault(
-            faults.child(path, 'calls'),
+            faults.field_path(path, 'calls'),
             'a service of kind "engine" lists calls',
             'remove the calls, or make the kind "plain"',
         )
-    if kind == 'plain' and field(service, 'model') is not None:
+    if kind == 'plain' and get_field(service, 'model') is not None:
         yield faults.Fault(
-            faults.child(path, 'model'),
+            faults.field_path(path, 'model'),
             'a service of kind "plain" has a model',
             'remove the model, or make the kind "engine"',
         )
 
 
 def _call_faults(call: typing.Any, path: str) -> Faults:
-    method = text_value(field(call, 'method'))
+    method = string_or_none(get_field(call, 'method'))
     if method is not None and not _METHOD.fullmatch(method):
         yield faults.Fault(
-            faults.child(path, 'method'),
-            f'{faults.quoted(method)} is no HTTP method',
+            faults.field_path(path, 'method'),
+            f'{faults.quote(method)} is no HTTP method',
             'write a method in capital letters, such as "POST"',
         )
-    prefix = text_value(field(call, 'path'))
+    prefix = string_or_none(get_field(call, 'path'))
     if prefix is not None and not prefix.startswith('/'):
         yield faults.Fault(
-            faults.child(path, 'path'),
+            faults.field_path(path, 'path'),
             'the path does not begin with "/"',
             'write the path below the service, such as "/bookings"',
         )
@@ -175,27 +181,29 @@
 def _account_faults(account: typing.Any, path: str) -> Faults:
     yield from _name_faults(account, 'client_account', path)
     yield from _number_faults(account, _ACCOUNT_BOUNDS, path)
-    key_hash = text_value(field(account, 'key_sha256'))
+    key_hash = string_or_none(get_field(account, 'key_sha256'))
     if key_hash is not None and not _KEY_HASH.fullmatch(key_hash):
         yield faults.Fault(
-            faults.child(path, 'key_sha256'),
+            faults.field_path(path, 'key_sha256'),
             'this is not 64 lower-case hexadecimal digits',
             'write the SHA-256 of the key, never the key itself',
         )
 
 
 def _name_faults(value: typing.Any, name: str, path: str) -> Faults:
-    yield from _name_value_faults(field(value, name), faults.child(path, name))
+    yield from _name_value_faults(
+        get_field(value, name), faults.field_path(path, name)
+    )
 
 
 def _name_value_faults(value: typing.Any, path: str) -> Faults:
-    name = text_value(value)
+    name = string_or_none(value)
     if name is None:
         return
     if not _NAME.fullmatch(name) or len(name) > MAX_NAME_CHARACTERS:
         yield faults.Fault(
             path,
-            f'{faults.quoted(name)} cannot be used as a name',
+            f'{faults.quote(name)} cannot be used as a name',
             f'use 1 to {MAX_NAME_CHARACTERS} characters'
             ' without spaces and "/"',
         )
@@ -205,21 +213,25 @@
     value: typing.Any, bounds: dict[str, Bound], path: str
 ) -> Faults:
     for name, bound in bounds.items():
-        number = field(value, name)
+        number = get_field(value, name)
         if isinstance(number, bool) or not isinstance(number, int | float):
             continue
-        place = faults.child(path, name)
-        if number < bound.least or (
-            number == bound.least and not bound.allowed
+        location = faults.field_path(path, name)
+        if number < bound.minimum or (
+            number == bound.minimum and not bound.inclusive
         ):
-            least = f'{bound.least:g}'
-            wanted = f'{least} or more' if bound.allowed else f'above {least}'
+            minimum = f'{bound.minimum:g}'
+            expected = (
+                f'{minimum} or more' if bound.inclusive else f'above {minimum}'
+            )
             yield faults.Fault(
-                place, 'the number is too small', f'write a number {wanted}'
+                location,
+                'the number is too small',
+                f'write a number {expected}',
             )
-        elif MAX_WHOLE_NUMBER < number < math.inf:
+        elif MAX_INTEGER < number < math.inf:
             yield faults.Fault(
-                place,
+                location,
                 'the number is too large',
-                f'write a number below {MAX_WHOLE_NUMBER}',
+                f'write a number below {MAX_INTEGER}',
             )
--- a/eelgrassknot/settings/structure.py
+++ b/eelgrassknot/settings/structure.py
@@ -33,7 +33,7 @@
 class _Object(dict):
     """A JSON object that remembers which fields it had twice."""
 
-    repeated: tuple[str, ...] = ()
+    duplicate_names: tuple[str, ...] = ()
 
 
 def parse(
@@ -52,14 +52,14 @@
         value = json.loads(
             text,
             object_pairs_hook=_object_of_pairs,
-            parse_constant=_refuse_constant,
+            parse_constant=_reject_constant,
         )
         # Half of a surrogate pair parses, but cannot be stored.
         json.dumps(value, ensure_ascii=False).encode()
     except (ValueError, RecursionError) as error:
         fault = faults.Fault(
             faults.ROOT,
-            f'the document is not JSON: {_reason(error)}',
+            f'the document is not JSON: {_parse_error_reason(error)}',
             'write one JSON object in UTF-8',
         )
         return None, [fault]
@@ -92,15 +92,17 @@
     value = _Object(pairs)
     if len(value) < len(pairs):
         names = [name for name, _ in pairs]
-        value.repeated = tuple(name for name in value if names.count(name) > 1)
+        value.duplicate_names = tuple(
+            name for name in value if names.count(name) > 1
+        )
     return value
 
 
-def _refuse_constant(name: str) -> typing.NoReturn:
+def _reject_constant(name: str) -> typing.NoReturn:
     raise ValueError(f'{name} is no JSON number')
 
 
-def _reason(error: Exception) -> str:
+def _parse_error_reason(error: Exception) -> str:
     if isinstance(error, RecursionError):
         return 'it is nested too deeply'
     if isinstance(error, UnicodeError):
@@ -126,7 +128,7 @@
                     path, 'this is none of the choices', f'use {choices}'
                 )
         case _:
-            if not _fits(value, node):
+            if not _matches_type(value, node):
                 yield _wrong_type(value, node, path)
 
 
@@ -137,9 +139,9 @@
         yield _wrong_type(value, node, path)
         return
     fields = {field.encode_name: field for field in node.fields}
-    for name in getattr(value, 'repeated', ()):
+    for name in getattr(value, 'duplicate_names', ()):
         yield faults.Fault(
-            faults.child(path, name),
+            faults.field_path(path, name),
             'the field is given twice',
             'keep one of the two',
         )
@@ -147,12 +149,12 @@
         if name not in fields:
             yield _unknown_field(name, list(fields), path)
     for name, field in fields.items():
-        place = faults.child(path, name)
+        location = faults.field_path(path, name)
         if name in value:
-            yield from _walk(value[name], field.type, place)
+            yield from _walk(value[name], field.type, location)
         elif field.required:
             yield faults.Fault(
-                place,
+                location,
                 'the field is missing',
                 f'add it as {_expected(field.type)}',
             )
@@ -166,29 +168,31 @@
             path, f'this is {_json_name(value)}', 'write an array'
         )
         return
-    for index, entry in enumerate(value):
-        yield from _walk(entry, item, faults.element(path, index))
+    for index, item_value in enumerate(value):
+        yield from _walk(item_value, item, faults.item_path(path, index))
 
 
 def _walk_union(
     value: typing.Any, members: tuple[type_nodes.Type, ...], path: str
 ) -> collections.abc.Iterator[faults.Fault]:
     for member in members:
-        if not _is_struct(member) and _fits(value, member):
+        if not _is_struct(member) and _matches_type(value, member):
             return
     structs = [member for member in members if _is_struct(member)]
     if structs and isinstance(value, dict):
         yield from _walk_struct(value, structs[0], path)
         return
-    wanted = ' or '.join(_expected(member) for member in members)
-    yield faults.Fault(path, f'this is {_json_name(value)}', f'write {wanted}')
+    expected = ' or '.join(_expected(member) for member in members)
+    yield faults.Fault(
+        path, f'this is {_json_name(value)}', f'write {expected}'
+    )
 
 
 def _is_struct(node: type_nodes.Type) -> bool:
     return isinstance(node, type_nodes.StructType)
 
 
-def _fits(value: typing.Any, node: type_nodes.Type) -> bool:
+def _matches_type(value: typing.Any, node: type_nodes.Type) -> bool:
     match node:
         case type_nodes.StrType():
             return isinstance(value, str)
@@ -197,20 +201,20 @@
         case type_nodes.NoneType():
             return value is None
         case type_nodes.IntType():
-            return _is_whole(value)
+            return _is_integer(value)
         case type_nodes.FloatType():
             return _is_finite(value)
     return False
 
 
-def _is_whole(value: typing.Any) -> bool:
+def _is_integer(value: typing.Any) -> bool:
     return isinstance(value, int) and not isinstance(value, bool)
 
 
 def _is_finite(value: typing.Any) -> bool:
     if isinstance(value, float):
         return math.isfinite(value)
-    return _is_whole(value) and abs(value) <= sys.float_info.max
+    return _is_integer(value) and abs(value) <= sys.float_info.max
 
 
 def _wrong_type(
@@ -222,12 +226,12 @@
 
 
 def _unknown_field(name: str, known: list[str], path: str) -> faults.Fault:
-    close = difflib.get_close_matches(name, known, 1)
+    matches = difflib.get_close_matches(name, known, 1)
     remedy = 'remove the field'
-    if close:
-        remedy = f'write {close[0]}, or remove the field'
+    if matches:
+        remedy = f'write {matches[0]}, or remove the field'
     return faults.Fault(
-        faults.child(path, name), 'no such field is known', remedy
+        faults.field_path(path, name), 'no such field is known', remedy
     )
 
 
@@ -241,8 +245,8 @@
     match node:
         case type_nodes.StructType(fields=fields):
             names = [field.encode_name for field in fields if field.required]
-            with_fields = f' with {", ".join(names)}' if names else ''
-            return f'an object{with_fields}'
+            field_list = f' with {", ".join(names)}' if names else ''
+            return f'an object{field_list}'
         case type_nodes.VarTupleType():
             return 'an array'
         case type_nodes.EnumType(cls=enum_class):
--- a/eelgrassknot/settings/vm_faults.py
+++ b/eelgrassknot/settings/vm_faults.py
@@ -28,66 +28,66 @@
         document: The parsed settings; they may be of any shape.
     """
     for name in ('vm', 'availability_zone', 'region'):
-        if ranges.field(document, name) == '':
-            place = faults.child(faults.ROOT, name)
-            yield faults.Fault(place, 'the name is empty', 'write a name')
+        if ranges.get_field(document, name) == '':
+            location = faults.field_path(faults.ROOT, name)
+            yield faults.Fault(location, 'the name is empty', 'write a name')
     yield from _listen_faults(document)
     yield from _platform_faults(document)
-    for peer, path in ranges.entries(document, 'known_peers', faults.ROOT):
+    for peer, path in ranges.array_items(document, 'known_peers', faults.ROOT):
         yield from _address_faults(peer, path)
     for name in ('cursor_keys', 'peer_keys'):
         yield from _keys_faults(document, name)
-    interval = ranges.field(document, 'report_interval_ms')
+    interval = ranges.get_field(document, 'report_interval_ms')
     if isinstance(interval, int) and interval < MIN_REPORT_INTERVAL_MS:
         yield faults.Fault(
-            faults.child(faults.ROOT, 'report_interval_ms'),
+            faults.field_path(faults.ROOT, 'report_interval_ms'),
             'the interval is too short',
             f'write {MIN_REPORT_INTERVAL_MS} or more',
         )
-    level = ranges.text_value(ranges.field(document, 'log_level'))
+    level = ranges.string_or_none(ranges.get_field(document, 'log_level'))
     if level is not None and level not in LOG_LEVELS:
         yield faults.Fault(
-            faults.child(faults.ROOT, 'log_level'),
+            faults.field_path(faults.ROOT, 'log_level'),
             'no such log level is known',
             f'use one of {", ".join(LOG_LEVELS)}',
         )
 
 
 def _listen_faults(document: typing.Any) -> Faults:
-    listen = ranges.field(document, 'listen')
-    path = faults.child(faults.ROOT, 'listen')
-    first: dict[str, str] = {}
+    listen = ranges.get_field(document, 'listen')
+    path = faults.field_path(faults.ROOT, 'listen')
+    first_paths: dict[str, str] = {}
     for name in ('callers', 'operators', 'peers'):
-        address = ranges.text_value(ranges.field(listen, name))
-        place = faults.child(path, name)
-        yield from _address_faults(address, place)
+        address = ranges.string_or_none(ranges.get_field(listen, name))
+        location = faults.field_path(path, name)
+        yield from _address_faults(address, location)
         # Port 0 lets the operating system choose, so it never clashes.
-        if address in first and not address.endswith(':0'):
+        if address in first_paths and not address.endswith(':0'):
             yield faults.Fault(
-                place,
-                f'{first[address]} has the same address',
+                location,
+                f'{first_paths[address]} has the same address',
                 'give each listener an address of its own',
             )
         if address is not None:
-            first.setdefault(address, place)
+            first_paths.setdefault(address, location)
 
 
 def _platform_faults(document: typing.Any) -> Faults:
-    platform = ranges.field(document, 'platform')
-    path = faults.child(faults.ROOT, 'platform')
-    plugin = ranges.text_value(ranges.field(platform, 'plugin'))
+    platform = ranges.get_field(document, 'platform')
+    path = faults.field_path(faults.ROOT, 'platform')
+    plugin = ranges.string_or_none(ranges.get_field(platform, 'plugin'))
     registry.load_plugins('eelgrassknot.storage')
     known = storage_base.PLATFORMS.plugins
     if plugin is not None and plugin not in known:
         yield faults.Fault(
-            faults.child(path, 'plugin'),
-            f'no platform plug-in is called {faults.quoted(plugin)}',
+            faults.field_path(path, 'plugin'),
+            f'no platform plug-in is called {faults.quote(plugin)}',
             f'use one of {", ".join(sorted(known))}',
         )
-    url = ranges.text_value(ranges.field(platform, 'url'))
+    url = ranges.string_or_none(ranges.get_field(platform, 'url'))
     if url is not None and not _is_http_url(url):
         yield faults.Fault(
-            faults.child(path, 'url'),
+            faults.field_path(path, 'url'),
             'this is no HTTP URL',
             'write it as "http://IP:port"',
         )
@@ -105,7 +105,7 @@
     if isinstance(address, str) and not _is_address(address):
         yield faults.Fault(
             path,
-            f'{faults.quoted(address)} is no address',
+            f'{faults.quote(address)} is no address',
             'write it as "IP:port" with an IP number',
         )
 
@@ -121,43 +121,45 @@
 
 
 def _keys_faults(document: typing.Any, name: str) -> Faults:
-    path = faults.child(faults.ROOT, name)
-    if ranges.field(document, name) == []:
+    path = faults.field_path(faults.ROOT, name)
+    if ranges.get_field(document, name) == []:
         yield faults.Fault(path, 'there is no key', 'add a key')
-    first: dict[str, str] = {}
-    for key, place in ranges.entries(document, name, faults.ROOT):
-        key_id = ranges.text_value(ranges.field(key, 'id'))
-        if key_id in first:
+    first_paths: dict[str, str] = {}
+    for key, location in ranges.array_items(document, name, faults.ROOT):
+        key_id = ranges.string_or_none(ranges.get_field(key, 'id'))
+        if key_id in first_paths:
             yield faults.Fault(
-                faults.child(place, 'id'),
-                f'{first[key_id]} has the same id',
+                faults.field_path(location, 'id'),
+                f'{first_paths[key_id]} has the same id',
                 'give each key an id of its own',
             )
         if key_id is not None:
-            first.setdefault(key_id, faults.child(place, 'id'))
-        secret = ranges.field(key, 'secret')
-        yield from _secret_faults(secret, faults.child(place, 'secret'))
+            first_paths.setdefault(key_id, faults.field_path(location, 'id'))
+        secret = ranges.get_field(key, 'secret')
+        yield from _secret_faults(
+            secret, faults.field_path(location, 'secret')
+        )
 
 
 def _secret_faults(secret: typing.Any, path: str) -> Faults:
-    file_name = ranges.text_value(ranges.field(secret, 'file'))
+    file_name = ranges.string_or_none(ranges.get_field(secret, 'file'))
     if isinstance(secret, str):
-        yield from _length_faults(secret, path)
+        yield from _secret_length_faults(secret, path)
     elif file_name is not None:
-        place = faults.child(path, 'file')
+        location = faults.field_path(path, 'file')
         try:
             text = vm_settings.read_document(file_name)
         except exceptions.SettingsError as error:
             yield faults.Fault(
-                place, error.message, 'name a file with the secret in it'
+                location, error.message, 'name a file with the secret in it'
             )
         else:
-            yield from _length_faults(text.strip(), place)
+            yield from _secret_length_faults(text.strip(), location)
 
 
-def _length_faults(secret: str, path: str) -> Faults:
-    least = vm_settings.MIN_SECRET_BYTES
-    if len(secret.encode()) < least:
+def _secret_length_faults(secret: str, path: str) -> Faults:
+    min_bytes = vm_settings.MIN_SECRET_BYTES
+    if len(secret.encode()) < min_bytes:
         yield faults.Fault(
-            path, 'the secret is too short', f'use at least {least} bytes'
+            path, 'the secret is too short', f'use at least {min_bytes} bytes'
         )
--- a/eelgrassknot/storage/http.py
+++ b/eelgrassknot/storage/http.py
@@ -117,9 +117,9 @@
             'GET', self.url + path, timeout_ms=READ_TIMEOUT_MS
         )
         match answer:
-            case result.Ok(http_client.HttpAnswer(status=200, body=body)):
+            case result.Ok(http_client.HttpResponse(status=200, body=body)):
                 return result.Ok(body)
-            case result.Ok(http_client.HttpAnswer(status=404)):
+            case result.Ok(http_client.HttpResponse(status=404)):
                 return result.Ok(None)
             case result.Ok(other):
                 return result.Err(_unavailable(f'status {other.status}'))
@@ -132,7 +132,7 @@
         path: str,
         body: bytes | None,
         headers: dict[str, str],
-    ) -> result.Result[http_client.HttpAnswer, base.PlatformError]:
+    ) -> result.Result[http_client.HttpResponse, base.PlatformError]:
         answer = http_client.request(
             method,
             self.url + path,
@@ -165,9 +165,9 @@
         headers = {'Content-Type': 'application/json'}
         answer = self._write('POST', '/transactions', body, headers)
         match answer:
-            case result.Ok(http_client.HttpAnswer(status=200, body=body)):
+            case result.Ok(http_client.HttpResponse(status=200, body=body)):
                 return _decode(body, base.Versions)
-            case result.Ok(http_client.HttpAnswer(status=409, body=body)):
+            case result.Ok(http_client.HttpResponse(status=409, body=body)):
                 return _decode(body, _Failed).and_then(_conflict)
             case result.Ok(other):
                 return result.Err(_unavailable(f'status {other.status}'))
--- a/tests/steps/settings_check.py
+++ b/tests/steps/settings_check.py
@@ -57,8 +57,8 @@
     return json.loads(msgspec.json.encode(value))
 
 
-def set_place(document, place, value):
-    *steps, last = place.split('.')
+def set_at(document, path, value):
+    *steps, last = path.split('.')
     for step in steps:
         document = document[int(step) if step.isdigit() else step]
     document[int(last) if last.isdigit() else last] = value
@@ -76,15 +76,15 @@
     return found
 
 
-def places(value, path=()):
+def paths_in(value, path=()):
     """Yield the path of each value inside a document."""
     yield path
     if isinstance(value, dict):
         for name in value:
-            yield from places(value[name], path + (name,))
+            yield from paths_in(value[name], path + (name,))
     elif isinstance(value, list):
         for index, entry in enumerate(value):
-            yield from places(entry, path + (index,))
+            yield from paths_in(entry, path + (index,))
 
 
 @behave.given('the example text of "{deployment}"')
@@ -100,11 +100,11 @@
     context.check = check.check_vm
 
 
-@behave.when('its "{place}" is set to {value}')
-@behave.when('their "{place}" is set to {value}')
-def set_value(context, place, value):
+@behave.when('its "{path}" is set to {value}')
+@behave.when('their "{path}" is set to {value}')
+def set_value(context, path, value):
     value = float('inf') if value == 'inf' else json.loads(value)
-    set_place(context.document, place, value)
+    set_at(context.document, path, value)
 
 
 def faults_of(context):
@@ -143,45 +143,45 @@
 
 
 @behave.then('the settings check survives any JSON value')
-def survives_values(context):
+def accepts_values(context):
     @DERANDOMIZED
     @hypothesis.given(VALUES)
-    def survives(value):
+    def check_one(value):
         checked(json.dumps(value))
 
-    survives()
+    check_one()
 
 
 @behave.then('the settings check survives any mutation of the example texts')
-def survives_mutations(context):
+def accepts_mutations(context):
     text = msgspec.json.encode(example('nadroga').text)
     settings = msgspec.json.encode(example('nadroga').settings[0])
 
     @DERANDOMIZED
     @hypothesis.given(strategies.data())
-    def survives(data):
+    def check_one(data):
         source = data.draw(strategies.sampled_from([text, settings]))
         document = json.loads(source)
-        listed = [place for place in places(document) if place]
-        place = data.draw(strategies.sampled_from(listed))
+        listed = [path for path in paths_in(document) if path]
+        path = data.draw(strategies.sampled_from(listed))
         value = data.draw(VALUES)
         target = document
-        for step in place[:-1]:
+        for step in path[:-1]:
             target = target[step]
-        target[place[-1]] = value
+        target[path[-1]] = value
         checked(json.dumps(document))
 
-    survives()
+    check_one()
 
 
 @behave.then('the settings check survives any bytes')
-def survives_bytes(context):
+def accepts_bytes(context):
     @DERANDOMIZED
     @hypothesis.given(strategies.binary(max_size=64))
-    def survives(document):
+    def check_one(document):
         checked(document)
 
-    survives()
+    check_one()
 
 
 @behave.then('no fault of the settings shows "{secret}"')
