--- a/eelgrassknot/forwarding/zone_digests.py
+++ b/eelgrassknot/forwarding/zone_digests.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from eelgrassknot.coordination import peer_messages as messages
-from eelgrassknot.forwarding import knowledge as knowledges
 from eelgrassknot.forwarding import loop as loops
-from eelgrassknot.forwarding import peer_tally
+from eelgrassknot.forwarding import peer_load
+from eelgrassknot.forwarding import replicated_state
 from eelgrassknot import ids
 
 __all__ = ['ZoneDigests']
@@ -42,8 +42,8 @@
 
     def __init__(
         self,
-        knowledge: knowledges.Knowledge,
-        tally: peer_tally.PeerTally,
+        knowledge: replicated_state.Knowledge,
+        tally: peer_load.PeerTally,
         loop: loops.EventLoop,
     ) -> None:
         self.knowledge = knowledge
@@ -72,7 +72,7 @@
         if zone == self.zone or now_ms - heard_ms <= DIRECT_MS:
             return
         self.tally.take(('zone', zone), news)
-        if vm in self.knowledge.board.roster.links.far:
+        if vm in self.knowledge.board.roster.links.remote_gateways:
             self.to_relay[zone] = msgspec.structs.replace(news, marks=())
 
     def _tell(self) -> None:
@@ -82,7 +82,7 @@
         relayed, self.to_relay = self.to_relay, {}
         for news in relayed.values():
             board.broadcast(news)
-        far = self._due(board.roster.links.far)
+        far = self._due(board.roster.links.remote_gateways)
         if far:
             board.send_far(far, self._digest())
 
@@ -102,6 +102,6 @@
         return messages.ZoneNews(
             self.zone,
             self.knowledge.marks(),
-            peer_tally.engine_entries(self.tally.engines(members)),
+            peer_load.engine_entries(self.tally.engines(members)),
             tuple(self.tally.running_calls(members).items()),
         )
