--- a/tests/coordination/__init__.py
+++ b/tests/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Features and helpers on the coordination between VMs."""
+"""Features and test helpers for the coordination between VMs."""
--- a/tests/coordination/adoption.feature
+++ b/tests/coordination/adoption.feature
@@ -1,39 +1,39 @@
 Feature: A VM adopts the newest services text and never an older one
 
-  Scenario: the version in force never falls under lost and late messages
-    Given a VM that hears of texts from its store and its peers
-    Then its version in force never falls and it settles on the newest
+  Scenario: the version in force never decreases under lost and delayed messages
+    Given a VM that receives texts from the store and its peers
+    Then its version in force never decreases and converges to the newest
 
-  Scenario: the check catches a VM that applies whatever arrives
-    Given a VM that applies whatever text arrives
+  Scenario: the check detects a VM that applies every received text
+    Given a VM that applies every received text
     Then the check on adoption fails
 
-  Scenario: the check catches a VM that serves before it has caught up
-    Given a VM that says ready with any text
+  Scenario: the check detects a VM that reports ready without a text
+    Given a VM that always reports ready
     Then the check on adoption fails
 
-  Scenario: a VM that starts in an outage takes the text from a peer
+  Scenario: a VM that starts during a store outage fetches the text from a peer
     Given a VM whose store does not answer
-    Then it is not ready as neither store nor peer has told the text
-    When a peer tells version 4
-    Then it asks that peer for the text
+    Then it is not ready because neither store nor peer has provided the text
+    When a peer reports version 4
+    Then it requests the text from that peer
     When that text arrives
     Then it is ready with version 4
 
   Scenario: a text whose digest does not match is not applied
     Given a VM whose store does not answer
-    When a peer tells version 4
+    When a peer reports version 4
     And a text arrives whose digest does not match
     Then it is not ready and has counted 1 corrupt text
 
-  Scenario: a VM that knows of a newer text asks the other source in turn
+  Scenario: a VM that knows of a newer text retries after a timeout
     Given a VM whose store does not answer
-    When a peer tells version 4
+    When a peer reports version 4
     And the peer does not answer for 2000 ms
-    Then it asks the peer again, as the store has failed
+    Then it requests the text from the peer again, as the store has failed
 
-  Scenario: peers that are behind are named
+  Scenario: peers with an older text are listed
     Given a VM whose store does not answer
-    When a peer tells version 4
-    And another peer tells version 3
-    Then the other peer is behind
+    When a peer reports version 4
+    And another peer reports version 3
+    Then the other peer is listed as outdated
--- a/tests/coordination/deployment.py
+++ b/tests/coordination/deployment.py
@@ -1,4 +1,4 @@
-"""Starts a small deployment as processes and ends all of them."""
+"""Runs a small deployment as processes on loopback."""
 
 import contextlib
 import json
@@ -21,18 +21,18 @@
 
 
 def wait_for(condition, limit_s=LIMIT_S):
-    """Return the first true answer of a condition."""
+    """Poll a condition; return its first true result."""
     until = time.monotonic() + limit_s
     while time.monotonic() < until:
         answer = condition()
         if answer:
             return answer
         time.sleep(POLL_S)
-    raise AssertionError('the condition did not come about')
+    raise AssertionError('condition not met within the time limit')
 
 
 def document(note='d'):
-    """Return a small services text; the note tells texts apart."""
+    """Return a small services text that is distinguished by a note."""
     text = {
         'deployment': note,
         'regions': [{'region': 'r', 'availability_zones': ['z0', 'z1', 'z2']}],
@@ -43,7 +43,7 @@
 
 
 def free_ports(count):
-    """Return ports that nothing listens on."""
+    """Return the numbers of unused ports."""
     with contextlib.ExitStack() as stack:
         sockets = [
             stack.enter_context(socket.create_server(('127.0.0.1', 0)))
@@ -53,7 +53,7 @@
 
 
 class Daemon:
-    """One daemon's process and where it listens."""
+    """Process and settings of one daemon."""
 
     def __init__(self, vm, zone, settings):
         self.vm = vm
@@ -63,29 +63,29 @@
         self.log = None
 
     def status(self):
-        """Return its status document, or None while it does not answer."""
+        """Return the status document, or None if there is no answer."""
         url = f'http://{self.settings["listen"]["operators"]}/status'
         answer = http_client.request('GET', url, timeout_ms=2_000)
         return json.loads(answer.ok_value.body) if answer.is_ok() else None
 
     def version(self):
-        """Return the version in force there, or -1 if it is not known."""
+        """Return the configuration version in force, or -1 if unknown."""
         status = self.status()
         return status['config_version'] if status else -1
 
     def is_ready(self):
-        """Return whether it says that it is ready."""
+        """Return whether the daemon reports that it is ready."""
         url = f'http://{self.settings["listen"]["operators"]}/readyz'
         answer = http_client.request('GET', url, timeout_ms=2_000)
         return answer.is_ok() and answer.ok_value.status == 200
 
     def signal(self, number):
-        """Send its process a signal."""
+        """Send a signal to the process."""
         self.process.send_signal(number)
 
 
 class Deployment:
-    """A platform and daemons on loopback."""
+    """A stand-in of the platform and daemons on loopback."""
 
     def __init__(self):
         self.directory = tempfile.TemporaryDirectory()
@@ -96,7 +96,7 @@
         self.platform = http_storage.create(self.url)
 
     def start_listening(self, module, *arguments):
-        """Start a stand-in and return the address that it prints."""
+        """Start a stand-in; return the address that it prints."""
         process = subprocess.Popen(
             [sys.executable, '-m', module, *arguments],
             stdout=subprocess.PIPE,
@@ -106,7 +106,7 @@
         return process.stdout.readline().split()[1]
 
     def add(self, vm, zone='z0', url=None, known_peers=()):
-        """Prepare a daemon; it is not started yet."""
+        """Create the settings of a daemon without starting it."""
         ports = free_ports(3)
         names = ('callers', 'operators', 'peers')
         listen = {
@@ -127,7 +127,7 @@
         return self.daemons[vm]
 
     def start(self, *vms):
-        """Start the processes of daemons."""
+        """Start daemon processes."""
         for vm in vms:
             daemon = self.daemons[vm]
             path = self.path / f'{vm}.json'
@@ -146,11 +146,11 @@
             self.processes.append(daemon.process)
 
     def log(self, vm):
-        """Return what a daemon has logged."""
+        """Return the log of a daemon."""
         return (self.path / f'{vm}.log').read_text()
 
     def list_vms(self, *vms, others=(), leaving=None):
-        """Have the platform list these daemons and other entries."""
+        """Set the platform's VM list to these daemons and other entries."""
         entries = []
         for vm in vms:
             daemon = self.daemons[vm]
@@ -170,21 +170,21 @@
         self.control('PUT', '/control/vms', {'vms': [*entries, *others]})
 
     def control(self, method, path, body):
-        """Tell the platform's stand-in something."""
+        """Send a control request to the platform's stand-in."""
         answer = http_client.request(
             method, self.url + path, json.dumps(body).encode()
         )
         assert answer.ok_value.status == 200, answer
 
     def accept(self, note, change=None):
-        """Accept a text; return its version."""
+        """Accept a services text; return its version."""
         answer = config_store.accept(
             self.platform.table, document(note), 'ana', change or note
         )
         return answer.ok_value.version
 
     def close(self):
-        """End all processes at once; none of them is to drain."""
+        """Kill all processes without letting them drain."""
         for process in self.processes:
             if process.poll() is None:
                 process.kill()
--- a/tests/coordination/examples.feature
+++ b/tests/coordination/examples.feature
@@ -1,4 +1,4 @@
-Feature: The library's examples run as they are written
+Feature: The doctest examples pass
 
-  Scenario: each example in the coordination package gives what it says
-    Then the examples of "eelgrassknot.coordination" run
+  Scenario: all examples of the coordination package produce the documented results
+    Then the examples of "eelgrassknot.coordination" pass
--- a/tests/coordination/fleet.py
+++ b/tests/coordination/fleet.py
@@ -1,4 +1,4 @@
-"""A small fake of engines that carry out orders in given time."""
+"""Simulated engines that execute orders with a fixed delay."""
 
 from eelgrassknot import clock as clocks
 from eelgrassknot.coordination import order_messages as messages
@@ -19,7 +19,7 @@
 
 
 def services_text_of(version, depends_on=(), loads_per_minute=60.0):
-    """Return a text with one engine service and a plain one."""
+    """Return a services text with an engine service and a plain one."""
     return services_text.ServicesText(
         deployment='test',
         regions=(),
@@ -40,7 +40,7 @@
 
 
 class Fleet:
-    """Engines that obey a planner, and what they were told and when."""
+    """Engines that execute a planner's orders and record them."""
 
     def __init__(self, count, version=None):
         self.clock = clocks.ManualClock()
@@ -100,7 +100,7 @@
                 self.records[record.service] = record
 
     def run(self, seconds, requests=True):
-        """Let time pass; each engine serves a request a step."""
+        """Advance the time; each engine serves one request per step."""
         for _ in range(int(seconds * 1000 / STEP_MS)):
             self.clock.advance_ms(STEP_MS)
             self.step(requests)
--- a/tests/coordination/lease.feature
+++ b/tests/coordination/lease.feature
@@ -1,22 +1,22 @@
-Feature: A lease has one holder, whatever is paused, lost or late
+Feature: A lease has at most one holder under pauses, losses and delays
 
-  Scenario: two VMs never believe at once that they hold the lease
-    Given VMs that count a lease from before its write is sent
-    Then no two of them may order at the same time
+  Scenario: two VMs never hold the lease at the same time
+    Given VMs that measure a lease from before its write is sent
+    Then at most one of them may give orders at any time
 
-  Scenario: the check catches a lease that is counted from its answer
-    Given VMs that count a lease from the answer to its write
+  Scenario: the check detects a lease that is measured from its answer
+    Given VMs that measure a lease from the answer to its write
     Then the check on leases fails
 
-  Scenario: the check catches a takeover that does not wait
-    Given VMs that take over a row that is still being renewed
+  Scenario: the check detects a takeover before the lease has expired
+    Given VMs that take over before the lease has expired
     Then the check on leases fails
 
-  Scenario: the check catches an epoch that is used twice
-    Given VMs that keep the epoch when they take over
+  Scenario: the check detects an epoch that is used twice
+    Given VMs that do not increment the epoch when they take over
     Then the check on leases fails
 
-  Scenario: a VM that leaves hands the lease over without the wait
+  Scenario: a released lease is taken over without waiting for expiry
     Given a lease that "a" holds and "b" watches
     When "a" releases the lease
     Then "b" takes over at its next poll with epoch 2
--- a/tests/coordination/memory_table.py
+++ b/tests/coordination/memory_table.py
@@ -1,4 +1,4 @@
-"""A table in memory whose answers and writes can be lost or late."""
+"""In-memory table whose answers can be lost."""
 
 import result
 
@@ -15,8 +15,8 @@
 
     Attributes:
         rows: Value and version of each row by table and key.
-        lose_answers: How many of the next commits go unanswered.
-        down: Whether nothing is served.
+        lose_answers: Number of upcoming commits whose answer is lost.
+        down: Whether all requests fail.
     """
 
     def __init__(self):
--- a/tests/coordination/silent_relay.py
+++ b/tests/coordination/silent_relay.py
@@ -1,4 +1,4 @@
-"""TCP relay that can lose track of the connections that it has."""
+"""TCP relay that can silently stop forwarding on its connections."""
 
 import socket
 import threading
@@ -9,10 +9,10 @@
 
 
 class SilentRelay:
-    """Passes bytes on; after ``silence`` the open connections pass none.
+    """Forwards bytes until ``silence`` blocks the open connections.
 
-    Connections that are opened afterwards work, and no connection is
-    closed, as when an intermediary has forgotten the old ones.
+    Connections opened later work, and no connection is closed, as if a
+    middlebox had lost its state for the earlier ones.
     """
 
     def __init__(self, target):
@@ -26,12 +26,12 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def silence(self):
-        """Pass nothing more over the connections that are open."""
+        """Stop forwarding on the open connections."""
         self.silenced.set()
         self.silenced = threading.Event()
 
     def close(self):
-        """Close everything."""
+        """Close the listener and all connections."""
         for each in [self.listener, *self.sockets]:
             each.close()
 
--- a/tests/coordination/state_machines.py
+++ b/tests/coordination/state_machines.py
@@ -1,4 +1,4 @@
-"""Runs hypothesis state machines from steps, always alike."""
+"""Runs hypothesis state machines deterministically from steps."""
 
 import hypothesis
 from hypothesis import stateful
@@ -9,7 +9,7 @@
 
 
 def run(machine, examples=100):
-    """Search for a sequence of events that breaks an invariant."""
+    """Search for a sequence of events that violates an invariant."""
     settings = hypothesis.settings(
         derandomize=True,
         deadline=None,
@@ -22,9 +22,9 @@
 
 
 def assert_caught(machine, examples=300):
-    """Require that a broken variant breaks an invariant."""
+    """Assert that a faulty variant violates an invariant."""
     try:
         run(machine, examples)
     except AssertionError:
         return
-    raise AssertionError('the broken variant was not caught')
+    raise AssertionError('no invariant was violated by the faulty variant')
--- a/tests/coordination/upstream_membership.feature
+++ b/tests/coordination/upstream_membership.feature
@@ -1,10 +1,10 @@
-Feature: An upstream that leaves gets no new work, whoever says so first
+Feature: A leaving upstream gets no new work, whichever source reports it first
 
-  Scenario Outline: the earliest word counts and is final
+  Scenario Outline: the earliest report counts and is final
     Given an upstream "e1" that is listed as live
-    When <source> says that "e1" leaves
+    When <source> reports that "e1" is leaving
     Then "e1" is leaving
-    When the list still says that "e1" is live
+    When the list still shows "e1" as live
     Then "e1" is leaving
 
     Examples:
@@ -12,22 +12,22 @@
       | the engine or a peer    |
       | the platform's list     |
 
-  Scenario: an upstream that takes the place of a leaver is live
+  Scenario: an upstream that replaces a leaving one is live
     Given an upstream "e1" that is listed as live
-    When the engine or a peer says that "e1" leaves
+    When the engine or a peer reports that "e1" is leaving
     And "e1" is listed with another address
     Then "e1" is live
-    When the former "e1" is said to leave by a late message
+    When a delayed message reports that the earlier "e1" is leaving
     Then "e1" is live
 
-  Scenario: an upstream that cannot be reached returns when it can be
+  Scenario: an unreachable upstream returns once it can be reached
     Given an upstream "e1" that is listed as live
     When "e1" cannot be reached
     Then "e1" is leaving
     When "e1" can be reached again
     Then "e1" is live
 
-  Scenario: an upstream that the text withholds is live once it does not
+  Scenario: a withheld upstream is live once it is no longer withheld
     Given an upstream "e1" that is listed as live
     When the text withholds "e1"
     Then "e1" is leaving
--- a/tests/steps/coordination_adoption.py
+++ b/tests/steps/coordination_adoption.py
@@ -1,4 +1,4 @@
-"""Steps on the adoption of services texts."""
+"""Steps for the adoption of services texts."""
 
 import random
 
@@ -24,7 +24,7 @@
 
 
 class AppliesAll(adoption.ConfigAdoption):
-    """Applies whatever text arrives."""
+    """Faulty variant that applies every received text."""
 
     def _receive(self, received):
         self.adopted = received
@@ -32,14 +32,17 @@
 
 
 class ReadyWithAny(adoption.ConfigAdoption):
-    """Says ready though it has no text."""
+    """Faulty variant that reports ready without a text."""
 
     def not_ready_reason(self):
         return None
 
 
 class Network(stateful.RuleBasedStateMachine):
-    """One VM; stores and peers that lag; messages lost, late, repeated."""
+    """One VM with a store and peers that lag.
+
+    Messages are delivered late, lost or duplicated.
+    """
 
     adoption_class = adoption.ConfigAdoption
 
@@ -66,8 +69,12 @@
                 case adoption.FetchFromPeer(vm):
                     self._send(self.at_peer[vm])
                 case adoption.Adopt(adopted):
-                    assert adopted.version >= self.highest, 'it fell'
-                    assert adopted.version >= self.highest_heard, 'too old'
+                    assert adopted.version >= self.highest, (
+                        'the version in force decreased'
+                    )
+                    assert adopted.version >= self.highest_heard, (
+                        'a text older than a known version was applied'
+                    )
                     self.highest = adopted.version
 
     def _send(self, version):
@@ -113,29 +120,31 @@
             self.time_passes(5_000)
             while self.messages:
                 self._tell(self.messages.pop(0))
-        assert self.adoption.version == self.accepted, 'did not settle'
+        assert self.adoption.version == self.accepted, 'did not converge'
 
 
 def adopters(adoption_class):
     return type('Machine', (Network,), {'adoption_class': adoption_class})
 
 
-@behave.given('a VM that hears of texts from its store and its peers')
+@behave.given('a VM that receives texts from the store and its peers')
 def given_vm(context):
     context.machine = adopters(adoption.ConfigAdoption)
 
 
-@behave.given('a VM that applies whatever text arrives')
+@behave.given('a VM that applies every received text')
 def given_applies_all(context):
     context.machine = adopters(AppliesAll)
 
 
-@behave.given('a VM that says ready with any text')
+@behave.given('a VM that always reports ready')
 def given_ready_with_any(context):
     context.machine = adopters(ReadyWithAny)
 
 
-@behave.then('its version in force never falls and it settles on the newest')
+@behave.then(
+    'its version in force never decreases and converges to the newest'
+)
 def never_falls(context):
     state_machines.run(context.machine)
 
@@ -158,23 +167,25 @@
     tell(context, adoption.StoreFailed())
 
 
-@behave.then('it is not ready as neither store nor peer has told the text')
+@behave.then(
+    'it is not ready because neither store nor peer has provided the text'
+)
 def not_ready(context):
     reason = context.adoption.not_ready_reason()
     assert reason.startswith('neither the store nor a peer'), reason
 
 
-@behave.when('a peer tells version {version:d}')
+@behave.when('a peer reports version {version:d}')
 def peer_tells(context, version):
     tell(context, adoption.PeerVersionReceived('p', version))
 
 
-@behave.when('another peer tells version {version:d}')
+@behave.when('another peer reports version {version:d}')
 def other_tells(context, version):
     tell(context, adoption.PeerVersionReceived('q', version))
 
 
-@behave.then('it asks that peer for the text')
+@behave.then('it requests the text from that peer')
 def asks_peer(context):
     assert context.actions == [adoption.FetchFromPeer('p')], context.actions
 
@@ -207,13 +218,15 @@
     tell(context, adoption.Tick(), silent_ms)
 
 
-@behave.then('it asks the peer again, as the store has failed')
+@behave.then(
+    'it requests the text from the peer again, as the store has failed'
+)
 def asks_again(context):
     fetches = [a for a in context.actions if isinstance(a, FETCH)]
     assert fetches == [adoption.FetchFromPeer('p')], context.actions
 
 
-@behave.then('the other peer is behind')
+@behave.then('the other peer is listed as outdated')
 def other_behind(context):
     assert context.adoption.outdated_peers() == {'q': 3}, (
         context.adoption.outdated_peers()
--- a/tests/steps/coordination_config.py
+++ b/tests/steps/coordination_config.py
@@ -1,4 +1,4 @@
-"""Steps on the acceptance of services texts."""
+"""Steps for the acceptance of services texts."""
 
 import behave
 from hypothesis import stateful
@@ -17,7 +17,7 @@
 
 
 class TrustsAbsence(config.Acceptance):
-    """Takes an absent row for proof that the write will never land."""
+    """Faulty variant that treats an absent row as a failed write."""
 
     def _resolve_outcome(self, record):
         if record is None:
@@ -26,7 +26,7 @@
 
 
 class Unconditional(config.Acceptance):
-    """Writes on no condition."""
+    """Faulty variant that writes unconditionally."""
 
     def _transaction(self, current, row_version):
         write = super()._transaction(current, row_version)
@@ -34,9 +34,9 @@
 
 
 class RacingOperators(stateful.RuleBasedStateMachine):
-    """Operators step by step against one table.
+    """Operators who accept texts concurrently in one table.
 
-    A write commits at once, later, or twice over; its answer may be lost.
+    A write commits at once, late or twice, and its answer may be lost.
     """
 
     acceptance_class = config.Acceptance
@@ -101,7 +101,7 @@
     @stateful.invariant()
     def version_never_falls(self):
         version = self._version()
-        assert version >= self.highest, 'the version fell'
+        assert version >= self.highest, 'the version decreased'
         self.highest = version
         stamp = config_store.read_stamp(self.table).ok_value
         assert version == (stamp.version if stamp else 0)
@@ -109,7 +109,7 @@
     @stateful.invariant()
     def outcomes_are_true(self):
         changes = [record.change for record in self._history()]
-        assert len(changes) == len(set(changes)), 'a text stands twice'
+        assert len(changes) == len(set(changes)), 'a text is recorded twice'
         assert len(changes) == self._version(), 'a version is missing'
         for change, outcome in self.outcomes.items():
             match outcome:
@@ -117,7 +117,7 @@
                     stands = changes[version - 1 : version]
                     assert stands == [change], 'a text was lost'
                 case exceptions.ConfigConflictError():
-                    assert change not in changes, 'a refused text stands'
+                    assert change not in changes, 'a refused text is recorded'
 
 
 def _machine(acceptance):
@@ -131,7 +131,7 @@
     context.machine = _machine(config.Acceptance)
 
 
-@behave.given('operators who take an absent row for a refusal')
+@behave.given('operators who treat an absent row as a refusal')
 def given_trusting(context):
     context.machine = _machine(TrustsAbsence)
 
@@ -181,7 +181,7 @@
     assert context.answer.ok_value.version == 1, context.answer
 
 
-@behave.when('"{author}" accepts a text that started from version {base:d}')
+@behave.when('"{author}" accepts a text based on version {base:d}')
 def when_accepts_from(context, author, base):
     accept(context, author, f'{author}-new', base)
 
@@ -195,7 +195,9 @@
     assert len(audit) == 1 and record.author == author, audit
 
 
-@behave.then('she is told of a conflict with version {version:d} by "{name}"')
+@behave.then(
+    'the acceptance fails with a conflict with version {version:d} by "{name}"'
+)
 def told_conflict(context, version, name):
     error = context.answer.err_value
     assert isinstance(error, exceptions.ConfigConflictError), error
@@ -209,7 +211,9 @@
     assert versions == list(range(first, last + 1)), versions
 
 
-@behave.given('a services text whose service "{name}" gets another timeout')
+@behave.given(
+    'a services text in which the timeout of service "{name}" changes'
+)
 def given_changed(context, name):
     other = {'service': 'other', 'timeout_ms': 1}
     before = {'services': [other, {'service': name, 'timeout_ms': 1}]}
@@ -217,11 +221,11 @@
     context.changes = text_diff.diff(before, after)
 
 
-@behave.then('the difference is at "{path}"')
+@behave.then('the difference is reported at "{path}"')
 def difference_at(context, path):
     assert [change.path for change in context.changes] == [path]
 
 
-@behave.then('it concerns the service "{name}"')
+@behave.then('the service "{name}" is reported as affected')
 def concerns(context, name):
     assert text_diff.changed_services(context.changes) == (name,)
--- a/tests/steps/coordination_digest.py
+++ b/tests/steps/coordination_digest.py
@@ -1,4 +1,4 @@
-"""Steps on digests, observers, reachability and links."""
+"""Steps for digests, observers, reachability and links."""
 
 import behave
 
@@ -47,17 +47,17 @@
     }
 
 
-@behave.then('each upstream is observed by two of them')
+@behave.then('each upstream is observed by two VMs')
 def two_observers(context):
     assert all(len(set(vms)) == 2 for vms in context.before.values())
 
 
-@behave.when('one of them dies')
+@behave.when('one VM fails')
 def one_dies(context):
     context.dead = context.vms.pop(7)
 
 
-@behave.then('only its upstreams get another observer')
+@behave.then('only the upstreams of that VM get a new observer')
 def others_stay(context):
     for name, vms in observers(context).items():
         if context.dead not in context.before[name]:
@@ -85,7 +85,7 @@
         assert context.second.due(context.now_ms) == []
 
 
-@behave.when('"first" falls silent for {silent_ms:d} ms')
+@behave.when('"first" does not report for {silent_ms:d} ms')
 def first_silent(context, silent_ms):
     context.now_ms += silent_ms
 
@@ -96,7 +96,7 @@
 
 
 @behave.given(
-    'a queue of {count:d} entries that all change before each exchange'
+    'a queue of {count:d} entries that all change before each digest'
 )
 def given_queue(context, count):
     context.queue = delta_queue.DeltaQueue(28, 1_000.0)
@@ -104,8 +104,8 @@
 
 
 @behave.then(
-    'each exchange of {budget:d} bytes takes {most:d}'
-    ' and each entry goes out in turn'
+    'each digest of {budget:d} bytes takes {most:d} entries and all entries'
+    ' are sent in turn'
 )
 def exchanges_take(context, budget, most):
     seen = set()
@@ -115,26 +115,24 @@
         taken = context.queue.take(budget, step * 250.0)
         assert len(taken) == most, taken
         seen.update(key for key, _ in taken)
-    assert len(seen) == context.count, 'an entry has starved'
+    assert len(seen) == context.count, 'an entry was never sent'
 
 
-@behave.given('a queue of 1 entries that was told')
+@behave.given('a queue whose 1 entry has been sent')
 def given_told(context):
     context.queue = delta_queue.DeltaQueue(28, 1_000.0)
     context.queue.offer('a', 1)
     assert context.queue.take(100, 0.0) == [1]
 
 
-@behave.then('it is told again after its refresh time and not before')
+@behave.then('it is sent again after the refresh interval and not before')
 def told_again(context):
     context.queue.offer('a', 1)
     assert context.queue.take(100, 999.0) == []
     assert context.queue.take(100, 1_000.0) == [1]
 
 
-@behave.given(
-    'a digest that knows the load of "{name}" at 200 ms of its clock'
-)
+@behave.given('a digest with the load of "{name}" at 200 ms of its clock')
 def given_digest(context, name):
     context.info = info(name)
     context.key = digest.upstream_key(context.info)
@@ -144,12 +142,12 @@
 
 
 @behave.when('a peer\'s load of "{name}" at 100 ms arrives')
-@behave.when('a peer\'s load of the earlier "{name}" arrives')
+@behave.when('a peer\'s load of the earlier incarnation of "{name}" arrives')
 def late_load(context, name):
     assert not context.digest.record_peer_load(load(context.key, 100), 1.0)
 
 
-@behave.then('the load of "{name}" is still that of 200 ms')
+@behave.then('the load of "{name}" is still the one at 200 ms')
 def still_newer(context, name):
     assert context.digest.loads[context.key][0].at_ms == 200
 
@@ -180,27 +178,25 @@
         context.told += context.digest.take(1_000, step * 250.0).demands
 
 
-@behave.then('zero is told once and then nothing')
+@behave.then('zero is sent once and then nothing')
 def zero_told(context):
     told = [entry.milli_requests_per_second for entry in context.told]
     assert told == [0], told
 
 
-@behave.then(
-    'the sum of the zone for "{service}" counts 1 upstream and no leavers'
-)
+@behave.then('the zone\'s sum for "{service}" has 1 upstream and none leaving')
 def zone_sum(context, service):
     (total,) = context.digest.zone_loads(1.0)
     assert (total.service, total.upstreams) == (service, 1), total
     assert (total.kv_tokens_used, total.leaving) == (5, ()), total
 
 
-@behave.when('"{name}" says that it leaves')
+@behave.when('"{name}" reports that it is leaving')
 def says_it_leaves(context, name):
     context.digest.record_own_load(load(context.key, 300, leaving=True), 2.0)
 
 
-@behave.then('the sum of the zone for "{service}" names it as leaving')
+@behave.then('the zone\'s sum for "{service}" lists the upstream as leaving')
 def names_leaver(context, service):
     (total,) = context.digest.zone_loads(3.0)
     assert total.leaving == (context.key,), total
@@ -216,23 +212,23 @@
     )
 
 
-@behave.then('it counts as unreachable')
+@behave.then('it is considered unreachable')
 def is_unreachable(context):
     assert not context.reachable
 
 
-@behave.when('"{vm}" says that it reaches it')
+@behave.when('"{vm}" reports that it can reach the upstream')
 def reaches(context, vm):
     context.reachable = context.reachability.record_report('e1', vm, True, 1.0)
 
 
-@behave.then('it counts as reachable')
+@behave.then('it is considered reachable')
 def is_reachable(context):
     assert context.reachable
     assert context.reachability.record_report('e1', 'a', False, 2.0)
 
 
-@behave.given('a VM that knows {zones:d} zones of {size:d} entry VMs')
+@behave.given('{zones:d} zones of {size:d} entry VMs')
 def given_zones(context, zones, size):
     context.entries = tuple(
         base.VmEntry(
@@ -250,7 +246,7 @@
 
 
 @behave.then(
-    'it is linked to its zone and, as a gateway alone, to {far:d} far VMs'
+    'each VM is linked to its zone and each gateway also to {far:d} remote VMs'
 )
 def links_are(context, far):
     names = [e.vm for e in context.entries if e.availability_zone == 'z0']
@@ -269,7 +265,9 @@
     assert sorted(counts) == [0, 0, far, far], counts
 
 
-@behave.given('a list of VMs in which one comes, one leaves and one is gone')
+@behave.given(
+    'a list of VMs in which one joins, one is leaving and one has gone'
+)
 def given_lists(context):
     def entry(vm, state=states.UpstreamState.LIVE):
         return base.VmEntry(
@@ -281,7 +279,7 @@
     context.after = {'a': entry('a'), 'b': leaving, 'd': entry('d')}
 
 
-@behave.then('who is told the change knows the list as it was read')
+@behave.then('applying the change to the old list gives the new list')
 def knows_list(context):
     change = vm_list.difference(context.before, context.after)
     assert len(change.entries) == 2 and change.removed == ('c',), change
--- a/tests/steps/coordination_examples.py
+++ b/tests/steps/coordination_examples.py
@@ -1,4 +1,4 @@
-"""Steps on the examples in doc comments."""
+"""Steps for the doctest examples."""
 
 import doctest
 import importlib
@@ -9,7 +9,7 @@
 MIN_EXAMPLES = 30
 
 
-@behave.then('the examples of "{package}" run')
+@behave.then('the examples of "{package}" pass')
 def examples_run(context, package):
     root = importlib.import_module(package)
     attempted = 0
--- a/tests/steps/coordination_lease.py
+++ b/tests/steps/coordination_lease.py
@@ -1,4 +1,4 @@
-"""Steps on the lease."""
+"""Steps for the lease."""
 
 import behave
 from hypothesis import stateful
@@ -14,21 +14,21 @@
 
 
 class FromAnswer(leases.Lease):
-    """Counts the lease from the answer to the write."""
+    """Faulty variant that measures the lease from the write's answer."""
 
     def _hold(self, record, sent_ms, now_ms):
         return super()._hold(record, now_ms, now_ms)
 
 
 class Impatient(leases.Lease):
-    """Counts the wait from the last read rather than the last change."""
+    """Faulty variant that takes over before the lease has expired."""
 
     def _takeover_ms(self):
         return super()._takeover_ms() - 0.9 * leases.DURATION_MS
 
 
 class SameEpoch(leases.Lease):
-    """Takes over without raising the epoch."""
+    """Faulty variant that takes over without incrementing the epoch."""
 
     def _write(self, record, takes_over, now_ms):
         if takes_over and record.epoch > 1:
@@ -41,7 +41,7 @@
 
 
 class Row:
-    """The lease's row with conditional writes."""
+    """Row of the lease, with conditional writes."""
 
     def __init__(self):
         self.record = None
@@ -58,7 +58,10 @@
 
 
 class Contenders(stateful.RuleBasedStateMachine):
-    """Three VMs, one row; answers are lost or late, VMs are paused."""
+    """Three VMs that compete for one row.
+
+    Answers are lost or late, and VMs are paused.
+    """
 
     lease_class = leases.Lease
 
@@ -129,12 +132,12 @@
             for vm, lease in self.leases.items()
             if lease.is_valid(self.now_ms)
         ]
-        assert len(able) <= 1, f'{able} may all order'
+        assert len(able) <= 1, f'{able} hold the lease at the same time'
 
     @stateful.invariant()
     def epoch_never_falls(self):
         epoch = self.row.record.epoch if self.row.record else 0
-        assert epoch >= self.epoch, 'the epoch fell'
+        assert epoch >= self.epoch, 'the epoch decreased'
         self.epoch = epoch
 
 
@@ -142,27 +145,27 @@
     return type('Machine', (Contenders,), {'lease_class': lease_class})
 
 
-@behave.given('VMs that count a lease from before its write is sent')
+@behave.given('VMs that measure a lease from before its write is sent')
 def given_leases(context):
     context.machine = machine(leases.Lease)
 
 
-@behave.given('VMs that count a lease from the answer to its write')
+@behave.given('VMs that measure a lease from the answer to its write')
 def given_from_answer(context):
     context.machine = machine(FromAnswer)
 
 
-@behave.given('VMs that take over a row that is still being renewed')
+@behave.given('VMs that take over before the lease has expired')
 def given_impatient(context):
     context.machine = machine(Impatient)
 
 
-@behave.given('VMs that keep the epoch when they take over')
+@behave.given('VMs that do not increment the epoch when they take over')
 def given_same_epoch(context):
     context.machine = machine(SameEpoch)
 
 
-@behave.then('no two of them may order at the same time')
+@behave.then('at most one of them may give orders at any time')
 def one_orders(context):
     state_machines.run(context.machine, 200)
 
--- a/tests/steps/coordination_membership.py
+++ b/tests/steps/coordination_membership.py
@@ -1,4 +1,4 @@
-"""Steps on the membership of entry VMs."""
+"""Steps for the membership of entry VMs."""
 
 import random
 
@@ -18,7 +18,7 @@
 
 
 class Forgetful(membership.Membership):
-    """Believes the last heartbeat alone."""
+    """Faulty variant that considers only the last heartbeat."""
 
     def _on_heartbeat(self, event, now_ms):
         peer = self._peer(event.vm)
@@ -29,7 +29,10 @@
 
 
 class Gossip(stateful.RuleBasedStateMachine):
-    """One VM hears two others, who leave and are replaced."""
+    """One VM receives heartbeats of two others that leave and restart.
+
+    Heartbeats are reordered, duplicated or lost.
+    """
 
     membership_class = membership.Membership
 
@@ -96,24 +99,28 @@
     @stateful.invariant()
     def leaving_and_replaced_stay_so(self):
         for vm, peer in self.membership.peers.items():
-            assert peer.started_ms >= self.newest[vm], 'replaced one is back'
+            assert peer.started_ms >= self.newest[vm], (
+                'a replaced incarnation returned'
+            )
             if peer.incarnation in self.told_leaving:
-                assert peer.state is not LIVE, 'a leaver is live again'
+                assert peer.state is not LIVE, 'a leaving peer became live'
 
 
-@behave.given('VMs that hear heartbeats in any order')
+@behave.given('VMs that receive heartbeats in any order')
 def given_gossip(context):
     context.machine = Gossip
 
 
-@behave.given('VMs that believe the last heartbeat alone')
+@behave.given('VMs that consider only the last heartbeat')
 def given_forgetful(context):
     context.machine = type(
         'Machine', (Gossip,), {'membership_class': Forgetful}
     )
 
 
-@behave.then('no leaver counts as live again and no replaced one returns')
+@behave.then(
+    'no leaving peer becomes live again and no replaced incarnation returns'
+)
 def leavers_stay(context):
     state_machines.run(context.machine)
 
@@ -148,7 +155,7 @@
     context.membership.handle(membership_messages.Tick(), context.now_ms)
 
 
-@behave.given('three VMs of a zone that hear one another each 1000 ms')
+@behave.given('three VMs of a zone that exchange heartbeats every 1000 ms')
 def given_zone(context):
     context.membership = membership.Membership('a', 'zone')
     context.now_ms = 0.0
@@ -157,22 +164,22 @@
     assert context.membership.live_peers() == ['b', 'c']
 
 
-@behave.when('"{vm}" falls silent for {silent_ms:d} ms')
+@behave.when('"{vm}" is silent for {silent_ms:d} ms')
 def falls_silent(context, vm, silent_ms):
     run(context, silent_ms, set('bc') - {vm})
 
 
-@behave.when('"{vm}" also says that it misses "{other}"')
+@behave.when('"{vm}" also reports "{other}" as silent')
 def misses_too(context, vm, other):
     context.unheard = (other,)
 
 
-@behave.when('"{vm}" stays silent for {silent_ms:d} ms more')
+@behave.when('"{vm}" stays silent for another {silent_ms:d} ms')
 def stays_silent(context, vm, silent_ms):
     run(context, silent_ms, set('bc') - {vm}, context.unheard)
 
 
-@behave.then('"a" suspects "{vm}" and does not count it as gone')
+@behave.then('"a" suspects "{vm}" and does not consider it gone')
 def suspects(context, vm):
     suspected = context.membership.in_state(membership.PeerState.SUSPECTED)
     assert suspected == [vm], suspected
@@ -180,26 +187,26 @@
     assert context.membership.is_gone(vm, f'{vm}1') is None
 
 
-@behave.then('"a" counts "{vm}" as gone')
+@behave.then('"a" considers "{vm}" gone')
 def counts_gone(context, vm):
     assert context.membership.in_state(GONE) == [vm]
     assert context.membership.is_gone(vm, f'{vm}1') is True
 
 
-@behave.when('"a" stands still for {still_ms:d} ms')
+@behave.when('"a" is paused for {still_ms:d} ms')
 def stands_still(context, still_ms):
     context.now_ms += still_ms
 
 
-@behave.then('"a" suspects nobody')
+@behave.then('"a" suspects no peer')
 def suspects_nobody(context):
     context.membership.handle(membership_messages.Tick(), context.now_ms)
     assert context.membership.live_peers() == ['b', 'c']
 
 
 @behave.given(
-    'heartbeats with gaps of {gap_ms:d} ms'
-    ' and heartbeats between {low_ms:d} and {high_ms:d} ms'
+    'heartbeats every {gap_ms:d} ms and heartbeats at random gaps of'
+    ' {low_ms:d} to {high_ms:d} ms'
 )
 def given_two_rhythms(context, gap_ms, low_ms, high_ms):
     generator = random.Random(3)
@@ -213,7 +220,9 @@
         context.jittery.record_heartbeat(jittery_ms)
 
 
-@behave.then('a silence of {silent_ms:d} ms is suspect for the former alone')
+@behave.then(
+    'a silence of {silent_ms:d} ms is suspect only for the regular heartbeats'
+)
 def only_regular_suspect(context, silent_ms):
     for detector, expected in (
         (context.regular, True),
@@ -222,14 +231,14 @@
         assert detector.is_suspect(detector.last_ms + silent_ms) is expected
 
 
-@behave.when('"{vm}" leaves and comes back as another incarnation')
+@behave.when('"{vm}" leaves and returns as another incarnation')
 def comes_back(context, vm):
     heartbeat(context, vm, leaving=True)
     assert context.membership.live_peers() == ['b']
     heartbeat(context, vm, f'{vm}2')
 
 
-@behave.then('"a" counts "{vm}" as live and the former incarnation as ended')
+@behave.then('"a" considers "{vm}" live and the earlier incarnation ended')
 def counts_live(context, vm):
     assert vm in context.membership.live_peers()
     assert context.membership.is_gone(vm, f'{vm}1') is True
@@ -242,7 +251,7 @@
     )
 
 
-@behave.when('the list names "{dead}" as live and leaves "{new}" out')
+@behave.when('the list contains "{dead}" as live and omits "{new}"')
 def list_names(context, dead, new):
     entries = (entry(dead), entry('b'))
     context.membership.handle(
@@ -251,14 +260,14 @@
     run(context, 20_000, 'bc')
 
 
-@behave.then('"a" knows "{dead}" only as listed and "{new}" as live')
+@behave.then('"a" considers "{dead}" only listed and "{new}" live')
 def knows(context, dead, new):
     listed = context.membership.in_state(membership.PeerState.LISTED)
     assert listed == [dead], listed
     assert new in context.membership.live_peers()
 
 
-@behave.when('"{vm}" introduces itself and no list names it')
+@behave.when('"{vm}" introduces itself and is not listed')
 def introduces_itself(context, vm):
     location = membership_messages.PeerLocation(vm, '127.0.0.1:9', 'zone', 'r')
     context.membership.handle(location, context.now_ms)
--- a/tests/steps/coordination_order_processes.py
+++ b/tests/steps/coordination_order_processes.py
@@ -1,4 +1,4 @@
-"""Steps on daemons that order engines."""
+"""Steps for daemons that give orders to engines."""
 
 import json
 import signal
@@ -101,29 +101,34 @@
     context.deployment.start('v0', 'v1')
 
 
-@behave.when('the text asks the engines for version "{version}"')
+@behave.when('the services text specifies version "{version}"')
 def ask_for(context, version):
     _accept(context, version)
 
 
-@behave.then('both engines come to hold version "{version}"')
+@behave.then('both engines eventually hold version "{version}"')
 def come_to_hold(context, version):
     deployment.wait_for(lambda: _hold(context, version))
 
 
-@behave.when('the daemon that gives the orders is stopped past its lease')
+@behave.when(
+    'the daemon that gives the orders is paused until its lease expires'
+)
 def stop_holder(context):
     context.stopped = deployment.wait_for(lambda: _holder(context))
     context.stopped.signal(signal.SIGSTOP)
     deployment.wait_for(lambda: _holder(context, excluded=context.stopped))
 
 
-@behave.when('the daemon that gave the orders runs again')
+@behave.when('the daemon that gave the orders resumes')
 def go_on(context):
     context.stopped.signal(signal.SIGCONT)
 
 
-@behave.then('neither engine obeyed an earlier holder after a later one')
+@behave.then(
+    'neither engine accepted an order of an earlier holder after one of a'
+    ' later holder'
+)
 def in_order_of_epochs(context):
     for service, address in context.engines.items():
         obeyed = [
@@ -135,7 +140,7 @@
         assert len(set(obeyed)) > 1, (service, obeyed)
 
 
-@behave.then('the audit trail tells of each order that was taken')
+@behave.then('the audit trail records each accepted order')
 def audited(context):
     table = context.deployment.platform.table
 
--- a/tests/steps/coordination_orders.py
+++ b/tests/steps/coordination_orders.py
@@ -1,4 +1,4 @@
-"""Steps on the engine orders of a region."""
+"""Steps for the engine orders of a region."""
 
 import random
 
@@ -38,14 +38,15 @@
     context.fleet.gain(1)
 
 
-@behave.when(
-    'with {loads:d} loads a minute the lease holder orders "{version}"'
-)
+@behave.when('the lease holder orders "{version}" at {loads:d} loads a minute')
 def adopt_paced(context, version, loads):
     adopt_and_gain(context, version, loads_per_minute=float(loads))
 
 
-@behave.when('after service "{service}" the lease holder orders "{version}"')
+@behave.when(
+    'the lease holder orders "{version}" with a dependency on service'
+    ' "{service}"'
+)
 def adopt_dependent(context, version, service):
     adopt_and_gain(context, version, depends_on=[ids.ServiceName(service)])
 
@@ -89,14 +90,14 @@
     assert len(engines) == count, engines
 
 
-@behave.then('at most {count:d} engines changed at one time')
+@behave.then('at most {count:d} engines were updated at a time')
 def at_most(context, count):
     assert 1 <= context.fleet.most_changing <= count, (
         context.fleet.most_changing
     )
 
 
-@behave.then('no minute holds more than {count:d} weight loads')
+@behave.then('no minute has more than {count:d} weight loads')
 def paced(context, count):
     times = [at_ms for at_ms, _, r in context.fleet.sent]
     for start_ms in times:
@@ -104,15 +105,15 @@
         assert len(within) <= count, within
 
 
-@behave.then('the rollout\'s record says "{state}"')
+@behave.then('the rollout\'s record has state "{state}"')
 def record_says(context, state):
     record = context.fleet.records[fleets.SERVICE]
     assert record.state.value == state, record
 
 
 @behave.then(
-    '{count:d} random histories of restarts, takeovers and texts keep'
-    ' the floor and reach the target'
+    '{count:d} random histories of restarts, takeovers and texts keep enough'
+    ' engines serving and reach the target'
 )
 def random_histories(context, count):
     for seed in range(count):
--- a/tests/steps/coordination_peer_link.py
+++ b/tests/steps/coordination_peer_link.py
@@ -1,4 +1,4 @@
-"""Steps on the link between daemons."""
+"""Steps for the peer link."""
 
 import socket
 import time
@@ -21,7 +21,7 @@
         if condition():
             return
         time.sleep(0.01)
-    raise AssertionError('the condition did not come about')
+    raise AssertionError('condition not met within the time limit')
 
 
 def codec(vm, incarnation=None, started_ms=1, secrets=(SECRET,)):
@@ -65,25 +65,25 @@
     assert context.a.send('b', messages.Heartbeat(version))
 
 
-@behave.then('"b" hears version {version:d} from "a"')
+@behave.then('"b" receives version {version:d} from "a"')
 def hears(context, version):
     wait_for(lambda: ('a', version) in versions(context.b))
 
 
-@behave.then('"a" gets from "b" the reply to a question')
+@behave.then('"a" receives the reply of "b" to a query')
 def gets_reply(context):
     answer = context.a.request('b', messages.OwnerQuery('i', 'n'), 20_000)
     assert answer.ok_value == messages.OwnerReply('a asked n'), answer
 
 
-@behave.then('a question to "c" fails naming that no answer came')
+@behave.then('a query to "c" fails because no answer was received')
 def question_fails(context):
     answer = context.a.request('c', messages.OwnerQuery('i', 'n'), 50)
     assert 'no answer from c' in answer.err_value.message
 
 
 @behave.when(
-    '"b" is sent an unsigned, a repeated, an altered and a foreign message'
+    '"b" is sent an unsigned, a replayed, an altered and a misdirected message'
 )
 def sends_bad(context):
     context.heard_before = len(context.b.heard)
@@ -97,7 +97,7 @@
 
 
 @behave.then(
-    '"b" has counted one rejection of each kind and heard one message'
+    '"b" has counted the rejections of each kind and received one message'
 )
 def counted(context):
     rejected = context.b.counters.rejected
@@ -110,7 +110,7 @@
     assert len(context.b.heard) == context.heard_before + 1
 
 
-@behave.when('"a" sends {count:d} heartbeats to a peer that reads nothing')
+@behave.when('"a" sends {count:d} heartbeats to a peer that does not read')
 def sends_to_mute(context, count):
     mute = socket.create_server(('127.0.0.1', 0))
     context.add_cleanup(mute.close)
@@ -124,7 +124,7 @@
     assert context.a.counters.dropped['Heartbeat'] >= 1
 
 
-@behave.given('"a" reaches "b" through an intermediary')
+@behave.given('"a" is connected to "b" through a relay')
 def given_intermediary(context):
     context.relay = silent_relay.SilentRelay(context.b.address)
     context.add_cleanup(context.relay.close)
@@ -133,12 +133,12 @@
     hears(context, 100)
 
 
-@behave.when('the intermediary loses track of the open connection')
+@behave.when('the relay stops forwarding on the open connection')
 def loses_track(context):
     context.relay.silence()
 
 
-@behave.then('"b" hears "a" again over a new connection')
+@behave.then('"b" receives from "a" again over a new connection')
 def hears_again(context):
     def heard():
         context.a.send('b', messages.Heartbeat(101))
@@ -148,11 +148,14 @@
     assert context.relay.accepted == 2, context.relay.accepted
 
 
-@behave.then('messages pass in each step from key "{old}" to key "{new}"')
+@behave.then(
+    'messages are accepted in each step of the rotation from key "{old}" to'
+    ' key "{new}"'
+)
 def keys_rotate(context, old, new):
     one, two = (key.encode() * 16 for key in (old, new))
     steps = ((one,), (one, two), (two, one), (two,))
-    # VMs restart one by one, so each step meets the one before it.
+    # VMs restart one by one, so VMs of adjacent steps run side by side.
     for earlier, later in zip(steps, steps[1:], strict=False):
         for signer, reader in ((earlier, later), (later, earlier)):
             sent = codec('x', secrets=signer).encode(messages.Heartbeat(1))
@@ -161,7 +164,7 @@
     context.rotated = codec('y', secrets=[two])
 
 
-@behave.then('after the last step messages signed by "old" are dropped')
+@behave.then('after the last step messages signed with "old" are dropped')
 def old_key_dropped(context):
     rejection = context.rotated.decode(context.stale, 0.0).err_value
     assert rejection is peer_codec.Rejection.UNSIGNED
@@ -177,7 +180,7 @@
     assert context.receiver.decode(data, 0.0).is_ok()
 
 
-@behave.then('what the earlier incarnation had sent is dropped by "b"')
+@behave.then('a message of the earlier incarnation is dropped by "b"')
 def earlier_dropped(context):
     rejection = context.receiver.decode(context.recorded, 1.0).err_value
     assert rejection is peer_codec.Rejection.REPLAYED
--- a/tests/steps/coordination_processes.py
+++ b/tests/steps/coordination_processes.py
@@ -1,4 +1,4 @@
-"""Steps on daemons as processes."""
+"""Steps for daemons that run as processes."""
 
 import concurrent.futures
 import signal
@@ -57,7 +57,7 @@
 
 
 @behave.then(
-    'each text is either accepted once or refused, and all settle on one'
+    'each text is accepted once or refused, and all daemons converge to one'
 )
 def each_is_settled(context):
     table = context.deployment.platform.table
@@ -86,7 +86,7 @@
     context.deployment.start(vm)
 
 
-@behave.then('"{vm}" is ready with the text of its peers')
+@behave.then('"{vm}" is ready with the text of a peer')
 def ready_by_peers(context, vm):
     daemon = context.deployment.daemons[vm]
     deployment.wait_for(daemon.is_ready)
@@ -99,7 +99,10 @@
     context.deployment.start(vm)
 
 
-@behave.then('"{vm}" says that neither the store nor a peer has told the text')
+@behave.then(
+    '"{vm}" is not ready because neither the store nor a peer has provided'
+    ' the text'
+)
 def says_not_ready(context, vm):
     daemon = context.deployment.daemons[vm]
     status = deployment.wait_for(daemon.status)
@@ -107,7 +110,7 @@
     assert not daemon.is_ready()
 
 
-@behave.when('the store is back and another text is accepted')
+@behave.when('the store recovers and another text is accepted')
 def store_is_back(context):
     context.deployment.control('POST', '/control', {'outage': 'none'})
     context.version = context.deployment.accept('after the outage')
@@ -121,8 +124,7 @@
 
 
 @behave.given(
-    'a daemon "{vm}" in zone "{zone}"'
-    ' that reaches the store by an intermediary'
+    'a daemon "{vm}" in zone "{zone}" that accesses the store through a relay'
 )
 def given_far(context, vm, zone):
     address = context.deployment.url.removeprefix('http://')
@@ -135,14 +137,14 @@
     deployment.wait_for(context.deployment.daemons[vm].is_ready)
 
 
-@behave.when('the intermediary fails and another text is accepted')
+@behave.when('the relay fails and another text is accepted')
 def intermediary_fails(context):
     context.relay.silence()
     context.relay.close()
     context.version = context.deployment.accept('while cut off')
 
 
-@behave.then('"{vm}" is ready and says that its store has failed')
+@behave.then('"{vm}" is ready and reports that its store has failed')
 def says_failed(context, vm):
     daemon = context.deployment.daemons[vm]
     deployment.wait_for(lambda: daemon.status()['config_store_failed'])
@@ -157,7 +159,7 @@
     return None
 
 
-@behave.when('the holder of the lease is stopped past its lease')
+@behave.when('the holder of the lease is paused until its lease expires')
 def holder_stopped(context):
     context.former, context.epoch = deployment.wait_for(
         lambda: holder(context)
@@ -170,7 +172,7 @@
     context.former.signal(signal.SIGSTOP)
 
 
-@behave.then('the other daemon takes the lease over with a higher epoch')
+@behave.then('the other daemon takes over the lease with a higher epoch')
 def takes_lease_over(context):
     def taken():
         lease = context.other.status()['lease']
@@ -179,12 +181,12 @@
     deployment.wait_for(taken)
 
 
-@behave.when('the stopped daemon runs again')
+@behave.when('the paused daemon resumes')
 def runs_again(context):
     context.former.signal(signal.SIGCONT)
 
 
-@behave.then('it says that it has lost the lease and the other one holds it')
+@behave.then('it logs the loss of the lease and the other daemon holds it')
 def has_lost(context):
     deployment.wait_for(
         lambda: 'event=lease_lost' in context.deployment.log(context.former.vm)
@@ -200,7 +202,7 @@
     return None
 
 
-@behave.when('"{vm}" is killed and another daemon takes its name')
+@behave.when('"{vm}" is killed and replaced by a daemon of the same name')
 def killed_and_replaced(context, vm):
     daemon = context.deployment.daemons[vm]
     daemon.signal(signal.SIGKILL)
@@ -210,7 +212,7 @@
     context.deployment.start(vm)
 
 
-@behave.then('"{vm}" knows the new incarnation of "{other}" as live')
+@behave.then('"{vm}" considers the new incarnation of "{other}" live')
 def knows_new(context, vm, other):
     daemon = context.deployment.daemons[other]
     deployment.wait_for(daemon.is_ready)
@@ -223,7 +225,7 @@
     deployment.wait_for(known)
 
 
-@behave.then('the audit trail tells that "{vm}" has changed')
+@behave.then('the audit trail records a change of "{vm}"')
 def audit_tells(context, vm):
     table = context.deployment.platform.table
 
@@ -238,12 +240,12 @@
     deployment.wait_for(told)
 
 
-@behave.when('the list of VMs turns the daemon "{vm}" to leaving')
+@behave.when('the list of VMs marks the daemon "{vm}" as leaving')
 def list_says_leave(context, vm):
     context.deployment.list_vms('v0', 'v1', leaving=vm)
 
 
-@behave.then('"{vm}" knows "{other}" as leaving before it has ended')
+@behave.then('"{vm}" considers "{other}" leaving before its process has ended')
 def knows_leaving(context, vm, other):
     process = context.deployment.daemons[other].process
 
--- a/tests/steps/coordination_upstream_membership.py
+++ b/tests/steps/coordination_upstream_membership.py
@@ -1,4 +1,4 @@
-"""Steps on the membership of upstreams."""
+"""Steps for the membership of upstreams."""
 
 import behave
 
@@ -31,19 +31,21 @@
     assert state_of(context, upstream) is LIVE
 
 
-@behave.when('the engine or a peer says that "{upstream}" leaves')
-@behave.when('the former "{upstream}" is said to leave by a late message')
+@behave.when('the engine or a peer reports that "{upstream}" is leaving')
+@behave.when(
+    'a delayed message reports that the earlier "{upstream}" is leaving'
+)
 def says_leaving(context, upstream):
     heard = upstreams.LeavingReported(upstream, '127.0.0.1:1')
     context.membership.handle(heard)
 
 
-@behave.when('the platform\'s list says that "{upstream}" leaves')
+@behave.when('the platform\'s list reports that "{upstream}" is leaving')
 def list_says_leaving(context, upstream):
     read_list(context, upstream, state=LEAVING)
 
 
-@behave.when('the list still says that "{upstream}" is live')
+@behave.when('the list still shows "{upstream}" as live')
 def list_says_live(context, upstream):
     read_list(context, upstream)
 
