--- a/eelgrassknot/policy/engine_queue.py
+++ b/eelgrassknot/policy/engine_queue.py
@@ -14,14 +14,14 @@
 from eelgrassknot.policy import engine_pairs
 from eelgrassknot.policy import health
 
-__all__ = ['EngineQueue', 'Order', 'Placement', 'Refusal']
+__all__ = ['EngineQueue', 'PlacementRequest', 'Placement', 'Refusal']
 
 RETRY_AFTER_MS = 1_000.0
 """Retry-After of a refusal while no engine is known; ms."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Order:
+class PlacementRequest:
     """A stream that wants an engine.
 
     Attributes:
@@ -33,9 +33,9 @@
     request: ids.RequestId
     service: ids.ServiceName
     rank: int
-    need: engine_pairs.Need
-    failed: frozenset[str]
-    give_up_ms: float
+    need: engine_pairs.RunRequirements
+    excluded: frozenset[str]
+    deadline_ms: float
 
 
 @dataclasses.dataclass(frozen=True)
@@ -65,21 +65,21 @@
         commitments: What runs where.
     """
 
-    def __init__(self, book: health.HealthBook) -> None:
-        self.book = book
+    def __init__(self, health_tracker: health.HealthTracker) -> None:
+        self.health_tracker = health_tracker
         self.engines: dict[
             ids.ServiceName, collections.abc.Sequence[engine_pairs.Engine]
         ] = {}
         self.commitments = commitments.Commitments()
-        self.waiting: list[tuple[int, int, Order]] = []
+        self.waiting: list[tuple[int, int, PlacementRequest]] = []
         self.arrivals = itertools.count()
 
-    def submit(self, order: Order) -> None:
+    def submit(self, order: PlacementRequest) -> None:
         """Have a stream placed by a later step."""
         self.waiting.append((order.rank, next(self.arrivals), order))
         self.waiting.sort(key=lambda entry: entry[:2])
 
-    def withdraw(self, request: ids.RequestId) -> None:
+    def cancel(self, request: ids.RequestId) -> None:
         """Forget a stream that waits."""
         self.waiting = [
             entry for entry in self.waiting if entry[2].request != request
@@ -93,8 +93,8 @@
         """
         if not self.waiting:
             return []
-        told: list[Placement | Refusal] = []
-        kept = []
+        results: list[Placement | Refusal] = []
+        still_waiting = []
         sums = self.commitments.all_sums(now_ms)
         for entry in self.waiting:
             order = entry[2]
@@ -104,20 +104,20 @@
             if engine is not None:
                 self._commit(order, engine)
                 sums = self.commitments.all_sums(now_ms)
-                told.append(Placement(order.request, engine))
-            elif now_ms >= order.give_up_ms:
-                told.append(Refusal(order.request, RETRY_AFTER_MS))
+                results.append(Placement(order.request, engine))
+            elif now_ms >= order.deadline_ms:
+                results.append(Refusal(order.request, RETRY_AFTER_MS))
             else:
-                kept.append(entry)
-        self.waiting = kept
-        return told
+                still_waiting.append(entry)
+        self.waiting = still_waiting
+        return results
 
     def place_copy(
         self,
         service: ids.ServiceName,
-        primary: engine_pairs.Place,
+        primary: engine_pairs.Location,
         tokens: int,
-        refused: frozenset[str],
+        excluded: frozenset[str],
         must_fit: bool,
         now_ms: float,
     ) -> engine_pairs.Engine | None:
@@ -132,32 +132,37 @@
             now_ms: The present time.
         """
         engines = self.engines.get(service, ())
-        usable = set(self.book.usable([e.upstream for e in engines], now_ms))
+        usable = set(
+            self.health_tracker.usable([e.upstream for e in engines], now_ms)
+        )
         return engine_pairs.choose_copy(
             tokens,
             primary,
             [
                 engine
                 for engine in engines
-                if engine.upstream in usable and engine.upstream not in refused
+                if engine.upstream in usable
+                and engine.upstream not in excluded
             ],
             self.commitments.all_sums(now_ms),
             must_fit,
         )
 
     def _candidates(
-        self, order: Order, now_ms: float
+        self, order: PlacementRequest, now_ms: float
     ) -> list[engine_pairs.Engine]:
         engines = [
             engine
             for engine in self.engines.get(order.service, ())
-            if engine.upstream not in order.failed
+            if engine.upstream not in order.excluded
         ]
         names = [engine.upstream for engine in engines]
-        usable = set(self.book.usable(names, now_ms))
+        usable = set(self.health_tracker.usable(names, now_ms))
         return [e for e in engines if e.upstream in usable]
 
-    def _commit(self, order: Order, engine: engine_pairs.Engine) -> None:
+    def _commit(
+        self, order: PlacementRequest, engine: engine_pairs.Engine
+    ) -> None:
         self.commitments.commit(
             order.request,
             commitments.Commitment(
