--- a/eelgrassknot/frontend/callers.py
+++ b/eelgrassknot/frontend/callers.py
@@ -1,4 +1,4 @@
-"""The listener for callers: routes, authentication and limits."""
+"""HTTP listener for callers: routing, authentication and limits."""
 
 import msgspec
 import result
@@ -26,7 +26,7 @@
 __all__ = ['CallersPart']
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
-# Each request in hand holds one, whether it waits or streams.
+# Each active request occupies one thread, whether it waits or streams.
 CALLER_THREADS = 384
 MAX_REQUEST_ID_CHARACTERS = 128
 
@@ -59,7 +59,7 @@
     'callers', after=('dispatch', 'config', 'membership', 'relays', 'claims')
 )
 class CallersPart(parts.Part):
-    """Answers callers, each request in a thread of the server."""
+    """Serves callers, with one server thread per request."""
 
     def __init__(self, node: kernel_node.Node) -> None:
         self.node = node
@@ -75,16 +75,16 @@
         )
 
     def bind(self) -> None:
-        """Learn of the parts that this one works with."""
+        """Obtain references to the parts that this one uses."""
         self.dispatch = self.node.part_set.parts['dispatch']
         self.relays = self.node.part_set.parts['relays']
 
     def start(self) -> None:
-        """Listen for callers."""
+        """Start listening for callers."""
         self.server.start()
 
     def drain(self) -> None:
-        """Finish the requests in hand."""
+        """Wait until the active requests are finished."""
         self.server.drain()
 
     def stop(self) -> None:
@@ -95,7 +95,7 @@
         self.accounts = accounts.Accounts(event.text)
 
     def application(self, environ, start_response):
-        """Answer one request; this is the WSGI entry point."""
+        """Handle one request; the WSGI entry point."""
         http = wrappers.Request(environ)
         http.max_content_length = MAX_BODY_BYTES
         request = _request_id(http)
--- a/eelgrassknot/frontend/claim_part.py
+++ b/eelgrassknot/frontend/claim_part.py
@@ -1,4 +1,4 @@
-"""Claims of this VM: carries out what the state machine asks for."""
+"""Performs the I/O of the state machine for claims of keyed calls."""
 
 import collections.abc
 import dataclasses
@@ -38,7 +38,7 @@
 
     Attributes:
         row_key: Key of its row.
-        store_ms: Time that was spent on the store and on owners.
+        store_ms: Time spent on the store and on queries to owners.
     """
 
     row_key: str
@@ -50,13 +50,13 @@
 
 @parts.part('claims', after=('relays', 'dispatch'))
 class ClaimPart(parts.Part):
-    """Writes claims and stores how the calls ended.
+    """Writes claims and stores the outcomes of calls.
 
-    An answer goes to its caller at once and to the store soon after,
-    with others in one transaction.
+    An answer is returned to its caller immediately and stored shortly
+    afterwards, together with others in one transaction.
 
     Attributes:
-        ledger: What peers are told about this VM's claims.
+        ledger: Record of this VM's claims, queried by peers.
         storing: Calls whose outcome is not stored yet.
     """
 
@@ -72,7 +72,7 @@
         )
 
     def bind(self) -> None:
-        """Learn of the parts that this one works with."""
+        """Obtain references to the parts that this one uses."""
         members = self.node.part_set.parts
         self.relays = members['relays']
         peers_part = members.get('request_peers')
@@ -80,11 +80,11 @@
             peers_part.lookup = self.ledger.answer
 
     def start(self) -> None:
-        """Begin to store outcomes."""
+        """Start storing outcomes."""
         self.loop.start()
 
     def drain(self) -> None:
-        """Store the outcomes that are known; give up after a while."""
+        """Wait until known outcomes are stored, up to a time limit."""
         until_ms = self.node.clock.now_ms() + DRAIN_STORE_MS
         while self.storing and self.node.clock.now_ms() < until_ms:
             self.loop.stopped.wait(STORE_POLL_MS / clocks.MS_PER_SECOND)
@@ -92,17 +92,17 @@
             logs.warning('outcomes_not_stored', calls=len(self.storing))
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread."""
         self.loop.stop()
 
     def status(self) -> dict[str, object]:
-        """Return how many outcomes wait for the store."""
+        """Return the number of outcomes that are not stored yet."""
         return {'claims': {'storing': len(self.storing)}}
 
     def create(
         self, row_key: str, request_hash: str, deadline_ms: float
     ) -> KeyedCall:
-        """Return a call whose key is to be claimed.
+        """Return a keyed call with a new claim.
 
         Args:
             row_key: Key of the call's row.
@@ -121,11 +121,11 @@
         call: KeyedCall,
         dispatch: collections.abc.Callable[[], plain_messages.EndCall],
     ) -> messages.EndClaim:
-        """Claim the key, dispatch at most once, and return the outcome.
+        """Claim the key, dispatch at most once and return the outcome.
 
         Args:
-            call: The call.
-            dispatch: Runs the call; called at most once.
+            call: Keyed call.
+            dispatch: Runs the call; invoked at most once.
         """
         ended: messages.EndClaim | None = None
         pending = call.machine.start()
@@ -153,7 +153,7 @@
     def read_answer(
         self, row: messages.ClaimRow
     ) -> plain_messages.Answer | None:
-        """Return the answer that an earlier call of the key gave."""
+        """Return the answer that an earlier call with the key received."""
         if row.answer_object is None:
             return row.answer
         match self.node.platform.objects.get(row.answer_object):
@@ -280,7 +280,7 @@
             return
         event = self._write(rows)
         if len(rows) > 1 and event == messages.WriteConflicted():
-            # One row changed, so none was written.
+            # One row had changed, so no row was written.
             for row in rows:
                 self._record_result(row[0], self._write([row]))
             return
--- a/eelgrassknot/frontend/claim_sweep_part.py
+++ b/eelgrassknot/frontend/claim_sweep_part.py
@@ -1,4 +1,4 @@
-"""Removes claims that have outlived their retention."""
+"""Removes claims whose retention period has expired."""
 
 import secrets
 import threading
@@ -18,8 +18,8 @@
 
 __all__ = ['ClaimSweepPart']
 
-# Each VM looks at a random page now and then, so that no VM is special
-# and the reads of all VMs together stay few.
+# Each VM checks a random page at this mean interval, so that no VM has a
+# special role and the total number of reads stays low.
 SWEEP_MS = 300_000.0
 PAGE_ROWS = 500
 GROUP_ROWS = 16
@@ -28,7 +28,7 @@
 
 @parts.part('claim_sweep', after=('claims',))
 class ClaimSweepPart(parts.Part):
-    """Looks at a random page of claims from time to time."""
+    """Periodically removes the expired claims of a random page."""
 
     def __init__(self, node: kernel_node.Node) -> None:
         self.node = node
@@ -36,11 +36,11 @@
         self.thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Begin to sweep."""
+        """Start the thread."""
         self.thread.start()
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread."""
         self.stopped.set()
         self.thread.join()
 
@@ -54,7 +54,7 @@
                 logs.warning('claim_unreadable', error=str(error))
 
     def sweep(self) -> int:
-        """Remove the expired claims of one page; return how many."""
+        """Remove the expired claims of one page and return their number."""
         text = self.node.text
         if text is None or not text.client_accounts:
             return 0
--- a/eelgrassknot/frontend/plain_calls.py
+++ b/eelgrassknot/frontend/plain_calls.py
@@ -1,4 +1,4 @@
-"""Passes calls on to plain services."""
+"""Forwards calls to plain services."""
 
 import concurrent.futures
 import hashlib
@@ -53,7 +53,7 @@
 def call(
     context: contexts.CallContext, service_name: str, path: str
 ) -> wrappers.Response:
-    """Answer a call to a plain service."""
+    """Handle a call to a plain service."""
     service = context.text.service(service_name)
     allowed = service_name in context.account.services
     plain = service is not None and service.kind is states.ServiceKind.PLAIN
@@ -223,7 +223,7 @@
             self.body or None,
             self._headers(),
             timeout_ms=action.timeout_ms,
-            # A new connection is also never tried again by the library.
+            # The library also never retries on a new connection.
             fresh_connection=action.needs_new_connection,
         )
         self.upstream_ms += self.clock.now_ms() - started_ms
--- a/eelgrassknot/frontend/relay.py
+++ b/eelgrassknot/frontend/relay.py
@@ -1,4 +1,4 @@
-"""Carries one generation from an engine to its caller."""
+"""Relays one generation from an engine to its caller."""
 
 import collections
 import collections.abc
@@ -40,20 +40,21 @@
 
 
 class Relay:
-    """Does the I/O that one generation request asks for.
+    """Performs the I/O of one generation request.
 
     Args:
-        context: The caller's request.
-        part: What all relays of this VM share.
-        machine: Decides how the request goes on.
-        profile: What the dispatcher knows of it, or None for a reader
-            that goes on with a running generation.
-        body: Body that starts the generation at an engine.
-        generation: Identifier that all attempts share, or None for one
-            of its own for each.
+        context: Context of the caller's request.
+        part: State shared by all relays of this VM.
+        machine: State machine of the request.
+        profile: Request profile used by the dispatcher, or None for a
+            reader that resumes an existing generation.
+        service: Service that is called.
+        body: Request body that starts the generation on an engine.
+        generation: Generation identifier shared by all attempts, or None
+            to use a new one for each attempt.
 
     Attributes:
-        superseded: Set when a newer reader has come.
+        superseded: Set when a newer reader has taken over.
     """
 
     def __init__(
@@ -88,15 +89,15 @@
         self.encode: Encode | None = None
 
     def enable_multiplexing(self, encode: 'Encode') -> None:
-        """Let the lane send tokens; the answer's head has been sent."""
+        """Allow use of the multiplexer; the response head has been sent."""
         self.encode = encode
 
     def supersede(self) -> None:
-        """End this reader, as a newer one has come."""
+        """Stop this reader because a newer one has taken over."""
         self.superseded.set()
 
     def place(self) -> list[messages.Action]:
-        """Wait until the dispatcher has placed or refused the request."""
+        """Submit the request and wait until it is placed or refused."""
         future = self.context.dispatch.submit(
             policy.RequestArrived(self.profile)
         )
@@ -105,13 +106,13 @@
     def run(
         self, actions: list[messages.Action]
     ) -> collections.abc.Iterator[Step]:
-        """Carry out actions until the request has ended.
+        """Perform actions until the request has ended.
 
         Args:
-            actions: What to begin with.
+            actions: Initial actions.
 
         Yields:
-            Tokens to deliver, and at last how the request ended.
+            Tokens to deliver, and finally the outcome of the request.
         """
         pending = collections.deque(actions)
         tokens: list[upstream_messages.Token] = []
@@ -285,7 +286,8 @@
         self.part.multiplexer.run(stream)
         if stream.unsent and not stream.broken:
             try:
-                # Slows this stream alone: the engine waits for us.
+                # Blocks only this stream: its engine is not read from
+                # until the caller has accepted the data.
                 self.context.caller.socket.sendall(stream.unsent)
             except OSError:
                 stream.broken = True
@@ -303,7 +305,7 @@
         return self.stream.flows()
 
     def _process_ready_events(self) -> list[messages.Action]:
-        # A slow caller may have kept this stream from being read.
+        # The stream may not have been read because of a slow caller.
         events = self.stream.read(0)
         if not events:
             return self._handle_idle()
@@ -338,7 +340,7 @@
         return self._handle(messages.Tick())
 
     def report_tokens(self, count: int, now_ms: float) -> None:
-        """Tell the dispatcher of tokens, not each time."""
+        """Report delivered tokens to the dispatcher in batches."""
         if self.profile is None:
             return
         notify = self.context.dispatch.notify
@@ -381,7 +383,8 @@
         if self.unreported:
             notify(policy.TokensProduced(request, self.unreported))
         if self.cancel_action is not None:
-            # The engine's memory is in use until it confirms.
+            # The engine's memory is in use until it confirms the
+            # cancellation.
             return request
         done = self.machine.outcome.outcome is states.Outcome.DONE
         notify(policy.RequestEnded(request, done))
--- a/eelgrassknot/frontend/relay_part.py
+++ b/eelgrassknot/frontend/relay_part.py
@@ -1,4 +1,4 @@
-"""What the relays of one VM share: cursors, readers, cancellations."""
+"""State shared by the relays of a VM: cursors, readers, cancellations."""
 
 import concurrent.futures
 import threading
@@ -30,7 +30,7 @@
 
 __all__ = ['RelayPart']
 
-# Bounds the connections that probes and cancellations hold open.
+# Limits the number of connections used for probes and cancellations.
 QUERY_THREADS = 8
 CANCEL_POLL_MS = 50.0
 IDLE_POLL_MS = 5_000.0
@@ -41,11 +41,13 @@
 
 @parts.part('relays', after=('dispatch', 'membership'))
 class RelayPart(parts.Part):
-    """Keeps track of the generations that this VM relays.
+    """Tracks the generations that are relayed by this VM.
 
     Attributes:
-        peers: Way to the other entry VMs.
-        relays: Live relays by their reader's number.
+        peers: Interface to the other entry VMs.
+        relays: Active relays by reader number.
+        unconfirmed: Requests whose engine memory stays reserved until the
+            engine confirms the cancellation, by generation.
     """
 
     def __init__(self, node: kernel_node.Node) -> None:
@@ -71,16 +73,19 @@
         )
 
     def bind(self) -> None:
-        """Learn of the parts that this one works with."""
+        """Obtain references to the parts that this one uses."""
         self.dispatch = self.node.part_set.parts['dispatch']
 
     def start(self) -> None:
-        """Begin to cancel what nobody reads."""
+        """Start the cancellation and multiplexer threads."""
         self.loop.start()
         self.multiplexer.start()
 
     def drain(self) -> None:
-        """Let callers come back, then have engines confirm the rest."""
+        """Wait until cancellations are confirmed, up to a time limit.
+
+        Callers may still reconnect within the grace period.
+        """
         until_ms = self.node.clock.now_ms() + DRAIN_CANCELS_MS
         while self.cancellations.pending:
             if self.node.clock.now_ms() >= until_ms:
@@ -88,13 +93,13 @@
             self.loop.stopped.wait(CANCEL_POLL_MS / 1000)
 
     def stop(self) -> None:
-        """End the threads."""
+        """Stop the threads."""
         self.loop.stop()
         self.multiplexer.stop()
         self.query_executor.shutdown(cancel_futures=True)
 
     def status(self) -> dict[str, object]:
-        """Return how many generations are read and cancelled."""
+        """Return the numbers of relayed and cancelled generations."""
         return {
             'generations': {
                 'read': len(self.relays),
@@ -105,7 +110,7 @@
     def register(
         self, generation: ids.GenerationId, reader: 'relay.Relay'
     ) -> int:
-        """Enter a reader; an older one of the generation ends.
+        """Register a reader, superseding an older one of the generation.
 
         Returns:
             The number of the reader.
@@ -123,13 +128,13 @@
         return number
 
     def release(self, generation: ids.GenerationId, number: int) -> None:
-        """Remove a reader that has ended."""
+        """Remove a reader that has finished."""
         with self.lock:
             self.readers.release(generation, number)
             self.relays.pop(number, None)
 
     def reader_taken(self, generation: ids.GenerationId, by: ids.VmId) -> None:
-        """Hear that another VM reads a generation from now on."""
+        """Handle the notification that another VM has taken over."""
         with self.lock:
             taken = self.readers.record_takeover(generation, by)
             superseded = self.relays.get(taken.reader)
@@ -145,7 +150,7 @@
     def notify_taken(
         self, vm: ids.VmId, generation: ids.GenerationId, by: ids.VmId
     ) -> None:
-        """Tell another VM, without waiting, who reads a generation."""
+        """Notify another VM of a takeover without waiting for it."""
         self.query_executor.submit(
             self.peers.notify_reader_taken, vm, generation, by
         )
@@ -155,11 +160,12 @@
         action: messages.CancelGeneration,
         request: ids.RequestId | None,
     ) -> None:
-        """Cancel a generation after its grace.
+        """Cancel a generation after its grace period.
 
         Args:
-            action: What to cancel.
-            request: Request that holds the engine's memory until then.
+            action: Cancellation to schedule.
+            request: Request that ends in the dispatcher only when the
+                engine confirms, because its memory is in use until then.
         """
         with self.lock:
             self.cancellations.schedule(
@@ -175,17 +181,17 @@
     def find_upstream(
         self, origin: cursor.StreamOrigin
     ) -> kernel_events.UpstreamInfo | None:
-        """Return the engine that a cursor names, if it is listed."""
+        """Return the engine named in a cursor, or None if not listed."""
         return self.upstreams.get(origin.upstream)
 
     def find_keyed(
         self, generation: ids.GenerationId, service: ids.ServiceName
     ) -> kernel_events.UpstreamInfo | None:
-        """Return the engine that runs, or ran, a keyed generation.
+        """Return the engine that runs or has run a keyed generation.
 
         Args:
             generation: Identifier derived from the caller's key.
-            service: Service whose engines are asked.
+            service: Service whose engines are queried.
         """
         engines = [
             upstream
--- a/eelgrassknot/kernel/node.py
+++ b/eelgrassknot/kernel/node.py
@@ -26,8 +26,8 @@
     Attributes:
         incarnation: Unique identifier of this run of the process.
         executor: Executor for short blocking operations of the parts.
-        text: Services configuration in effect, or None before the first.
-        text_version: Version of the configuration, 0 before the first.
+        text: Services text in effect, or None before the first.
+        text_version: Version of that text, 0 before the first.
         part_set: The parts, or None until they are created.
     """
 
--- a/tests/frontend/server.feature
+++ b/tests/frontend/server.feature
@@ -1,6 +1,6 @@
-Feature: The HTTP server does not wait for slow senders
+Feature: The HTTP server does not wait for slow clients
 
-  Scenario: a connection whose request does not come is closed
-    Given an HTTP server that waits a short time for a sender
-    When a sender stops in the middle of its headers
-    Then the server ends the connection
+  Scenario: a connection without a complete request is closed
+    Given an HTTP server with a short timeout for requests
+    When a client stops sending in the middle of its headers
+    Then the server closes the connection
--- a/tests/steps/frontend_caller_connection.py
+++ b/tests/steps/frontend_caller_connection.py
@@ -1,4 +1,4 @@
-"""Steps on the connection of a caller."""
+"""Steps for the connection of a caller."""
 
 import socket
 
@@ -20,11 +20,11 @@
     context.far.close()
 
 
-@behave.then('the caller is gone')
+@behave.then('the caller is disconnected')
 def is_gone(context):
     assert caller_connection.peer_closed(context.near)
 
 
-@behave.then('the caller is not gone')
+@behave.then('the caller is still connected')
 def is_not_gone(context):
     assert not caller_connection.peer_closed(context.near)
--- a/tests/steps/frontend_server.py
+++ b/tests/steps/frontend_server.py
@@ -1,4 +1,4 @@
-"""Steps on the HTTP server."""
+"""Steps for the HTTP server."""
 
 import socket
 
@@ -16,7 +16,7 @@
     return [b'']
 
 
-@behave.given('an HTTP server that waits a short time for a sender')
+@behave.given('an HTTP server with a short timeout for requests')
 def given_server(context):
     (port,) = deployment.free_ports(1)
     context.address = ('127.0.0.1', port)
@@ -26,14 +26,14 @@
     context.add_cleanup(context.server.stop)
 
 
-@behave.when('a sender stops in the middle of its headers')
+@behave.when('a client stops sending in the middle of its headers')
 def send_half(context):
     context.sender = socket.create_connection(context.address, LIMIT_S)
     context.add_cleanup(context.sender.close)
     context.sender.sendall(b'GET / HTTP/1.1\r\nHost: x\r\nX-Half: ')
 
 
-@behave.then('the server ends the connection')
+@behave.then('the server closes the connection')
 def ends(context):
     received = b''
     while data := context.sender.recv(4_096):
--- a/tests/steps/frontend_stream_multiplexer.py
+++ b/tests/steps/frontend_stream_multiplexer.py
@@ -1,4 +1,4 @@
-"""Steps on the thread that carries streams."""
+"""Steps for the stream multiplexer."""
 
 import dataclasses
 import socket
@@ -20,7 +20,7 @@
 
 
 class _Stream:
-    """An engine's connection whose events the test decides."""
+    """An engine connection whose events are set by the test."""
 
     def __init__(self):
         self.engine, self.socket = socket.socketpair()
@@ -59,7 +59,7 @@
     )
 
     def report_tokens(self, count, now_ms):
-        """Take note of nothing."""
+        """Ignore the report."""
 
 
 def _token(index, text=None, last=False):
@@ -91,7 +91,7 @@
     return stream
 
 
-@behave.given('a lane with {count:d} streams')
+@behave.given('a multiplexer with {count:d} streams')
 def given_lane(context, count):
     context.time = clocks.ManualClock()
     context.multiplexer = stream_multiplexer.StreamMultiplexer(context.time)
@@ -126,19 +126,23 @@
     _send(context, number, [_token(0, _LONG_TEXT)])
 
 
-@behave.when('the caller of stream {number:d} is gone and a token comes')
+@behave.when(
+    'the caller of stream {number:d} has disconnected and a token is received'
+)
 def caller_gone(context, number):
     context.streams[number].caller.other.close()
     _send(context, number, [_token(0)])
 
 
-@behave.when('nothing comes for longer than the silence limit')
+@behave.when('nothing is received for longer than the silence limit')
 def nothing_comes(context):
     machine = context.streams[0].relay.machine
     context.time.advance_ms(machine.wake_ms() + 1)
 
 
-@behave.then('the caller of stream {number:d} gets the tokens 0 to {last:d}')
+@behave.then(
+    'the caller of stream {number:d} receives the tokens 0 to {last:d}'
+)
 def caller_gets(context, number, last):
     wanted = b''.join(b'%d ' % index for index in range(last + 1))
     caller = context.streams[number].caller
@@ -148,40 +152,40 @@
 
 def _back(context, number):
     stream = context.streams[number]
-    assert stream.released.wait(_WAIT_S), 'the stream is still carried'
+    assert stream.released.wait(_WAIT_S), 'the stream is still forwarded'
     return stream
 
 
-@behave.then('stream {number:d} is handed back with {count:d} event')
+@behave.then('stream {number:d} is released with {count:d} unhandled event')
 def back_with_events(context, number, count):
     assert len(_back(context, number).events) == count
 
 
-@behave.then('stream {number:d} is still carried')
+@behave.then('stream {number:d} is still forwarded')
 def still_carried(context, number):
     assert not context.streams[number].released.is_set()
 
 
-@behave.then('stream {number:d} is handed back to be resumed from {index:d}')
+@behave.then('stream {number:d} is released to be resumed from {index:d}')
 def back_to_resume(context, number, index):
     closed, resumed = _back(context, number).actions
     assert closed == messages.CloseStream(1)
     assert resumed.index == index
 
 
-@behave.then('stream {number:d} is handed back with bytes that were not sent')
+@behave.then('stream {number:d} is released with unsent bytes')
 def back_unsent(context, number):
     stream = _back(context, number)
     assert 0 < len(stream.unsent) < len(_LONG_TEXT)
     assert not stream.broken
 
 
-@behave.then('stream {number:d} is handed back as broken')
+@behave.then('stream {number:d} is released as broken')
 def back_broken(context, number):
     assert _back(context, number).broken
 
 
-@behave.then('stream {number:d} is handed back with nothing')
+@behave.then('stream {number:d} is released with nothing pending')
 def back_with_nothing(context, number):
     stream = _back(context, number)
     assert not (
