--- a/benchmarks/outcomes/__init__.py
+++ b/benchmarks/outcomes/__init__.py
@@ -1,1 +1,1 @@
-"""Many random histories of generations and keyed calls."""
+"""Checks invariants in random histories of generations and keyed calls."""
--- a/benchmarks/outcomes/__main__.py
+++ b/benchmarks/outcomes/__main__.py
@@ -1,6 +1,6 @@
 """Runs random histories: ``python -m benchmarks.outcomes --seed 1``.
 
-The bound: not one history may break a promise.
+Requirement: no history violates an invariant.
 """
 
 import sys
@@ -42,7 +42,7 @@
 
 
 def main(histories: int = 2_000, seed: int = 1) -> None:
-    """Run histories of both kinds, and end with 1 if one is wrong."""
+    """Run both kinds of histories; exit with 1 if an invariant fails."""
     worlds = (
         hypothesis.seed(seed)(generation_simulation.GenerationHistories),
         hypothesis.seed(seed)(claim_simulation.ClaimHistories),
--- a/benchmarks/relay/__init__.py
+++ b/benchmarks/relay/__init__.py
@@ -1,1 +1,1 @@
-"""What a relayed token and a request cost a daemon."""
+"""Benchmark of a daemon's cost per relayed token and per request."""
--- a/benchmarks/relay/__main__.py
+++ b/benchmarks/relay/__main__.py
@@ -1,7 +1,7 @@
 """Measures the relay: ``python -m benchmarks.relay``.
 
-The bound: twice the target's share of one node, 2 x 2,025 tokens/s and
-2 x 9 requests/s, has to fit the one core that the interpreter can use.
+Requirement: twice one node's share of the target load, 2 x 2,025 tokens/s
+and 2 x 9 requests/s, fits on the one core that the interpreter can use.
 """
 
 import dataclasses
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass
 class LoadCost:
-    """What a number of streams cost, beside the same without a daemon."""
+    """Cost of a number of streams, compared with a direct connection."""
 
     streams: int
     token_us: float
@@ -107,7 +107,7 @@
 
 
 def main(seconds: int = 8, streams: list[int] | None = None) -> None:
-    """Measure, print, and end with 1 if the bound is broken."""
+    """Measure, print, and exit with 1 if the requirement is not met."""
     streams = streams or STREAMS
     port = random.SystemRandom().randrange(20_000, 30_000)
     with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/relay/client.py
+++ b/benchmarks/relay/client.py
@@ -1,4 +1,4 @@
-"""Reads many token streams at once and notes when each token came."""
+"""Reads many token streams concurrently and records token times."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 
 
 class StreamTimes:
-    """When the tokens of one stream came, in seconds."""
+    """Arrival times of the tokens of one stream, in seconds."""
 
     def __init__(self) -> None:
         self.started_s = time.monotonic()
@@ -24,7 +24,7 @@
         return 1_000 * (self.token_s[0] - self.started_s)
 
     def gaps_ms(self) -> list[float]:
-        """Return the times between one token and the next."""
+        """Return the intervals between consecutive tokens."""
         pairs = zip(self.token_s, self.token_s[1:])
         return [1_000 * (later - earlier) for earlier, later in pairs]
 
@@ -76,14 +76,14 @@
 def run_streams(
     address: str, key: str, streams: int, tokens: int, spread_s: float
 ) -> list[StreamTimes]:
-    """Read streams that begin one after another.
+    """Read streams that start one after another.
 
     Args:
         address: ``IP:port`` of a daemon or an engine.
         key: Key of the client account.
-        streams: How many streams.
-        tokens: Length of each.
-        spread_s: Time over which they begin, in seconds.
+        streams: Number of streams.
+        tokens: Length of each stream in tokens.
+        spread_s: Period over which the streams start, in seconds.
 
     Raises:
         OSError: If a stream ends early.
--- a/benchmarks/relay/engine.py
+++ b/benchmarks/relay/engine.py
@@ -1,4 +1,4 @@
-"""An engine that streams tokens at a steady rate, at little cost."""
+"""A lightweight engine that streams tokens at a constant rate."""
 
 import asyncio
 import json
@@ -26,10 +26,10 @@
 
 
 class SteadyEngine:
-    """Answers each completion with ``max_tokens`` tokens.
+    """Answers each completion request with ``max_tokens`` tokens.
 
     Args:
-        interval_s: Time from one token to the next, in seconds.
+        interval_s: Interval between tokens, in seconds.
     """
 
     def __init__(self, interval_s: float) -> None:
@@ -97,7 +97,7 @@
 
 
 def main(interval_ms: float = 1_000 / 30) -> None:
-    """Serve until ended."""
+    """Serve until the process is terminated."""
     asyncio.run(_serve(interval_ms / 1_000))
 
 
--- a/benchmarks/relay/node.py
+++ b/benchmarks/relay/node.py
@@ -1,4 +1,4 @@
-"""A daemon with its platform and one engine, for the benchmark."""
+"""Starts a daemon with a platform and one engine for the benchmark."""
 
 import hashlib
 import http
@@ -19,14 +19,14 @@
 
 
 class BenchmarkNode:
-    """Starts the processes; ``end`` ends them.
+    """Processes of the benchmark, which run until ``end`` is called.
 
     Args:
-        folder: Where settings and logs go.
-        port: First of three free ports.
+        folder: Directory for settings and logs.
+        port: First of three consecutive free ports.
 
     Attributes:
-        callers: Address of the daemon's listener.
+        callers: Address of the daemon's listener for callers.
         engine: Address of the engine.
     """
 
@@ -43,16 +43,16 @@
             raise
 
     def cpu_s(self) -> float:
-        """Return the processor time of the daemon so far."""
+        """Return the processor time used by the daemon, in seconds."""
         times = self.process.cpu_times()
         return times.user + times.system
 
     def memory_kb(self) -> float:
-        """Return the daemon's resident memory."""
+        """Return the resident memory of the daemon in KB."""
         return self.process.memory_info().rss / 1_024
 
     def end(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         for child in self.children:
             child.end()
 
