--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,8 +1,8 @@
-"""Works out docs/CAPACITY.md from measured slopes.
+"""Computes the figures of docs/CAPACITY.md from measurements.
 
-Reads what ``benchmarks.coordination.control_cost`` measured, works out
-the figures at the target size, and writes them between the marks of the
-page. Run with ``python -m benchmarks.capacity``.
+Reads the results of ``benchmarks.coordination.control_cost``, extrapolates
+them to the target size, and writes the figures between the markers in the
+page. Run as ``python -m benchmarks.capacity``.
 """
 
 import dataclasses
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Target:
-    """The size that the users name for two years ahead."""
+    """Deployment size that the users expect in two years."""
 
     nodes: int = 400
     servers: int = 4_000
@@ -53,21 +53,22 @@
 
     @property
     def zone_peers(self) -> float:
-        """Peers of a VM in its zone."""
+        """Number of peers of a VM in its zone."""
         return self.nodes / self.zones - 1
 
     @property
     def zone_upstreams(self) -> float:
-        """Upstreams of a zone."""
+        """Number of upstreams in a zone."""
         return self.servers / self.zones
 
 
 def plane(
     costs: list[control_cost.Cost], name: str
 ) -> tuple[float, float, float]:
-    """Return floor, slope by peer and slope by upstream of a figure.
+    """Fit a figure by a least-squares plane over the measured points.
 
-    The least-squares plane through all points that were measured.
+    Returns:
+        The value at zero, the slope per peer and the slope per upstream.
     """
     matrix = [[0.0] * 4 for _ in range(3)]
     for cost in costs:
@@ -142,7 +143,7 @@
 
 
 def configuration(target: Target) -> list[str]:
-    """Return what the changes of the text cost."""
+    """Return the cost of changes to the services text."""
     packed = len(zlib.compress(_document(target)))
     plain = len(_document(target))
     per_s = packed * target.changes_per_day / SECONDS_PER_DAY
@@ -160,7 +161,7 @@
 
 
 def digests(target: Target) -> list[str]:
-    """Return how old digests are at the target."""
+    """Return the age of digests at the target size."""
     peers = target.zone_peers
     interval_ms = min(
         membership_part.MAX_HEARTBEAT_MS,
@@ -197,7 +198,7 @@
 
 
 def table(target: Target) -> list[str]:
-    """Return the reads and writes of the platform's table."""
+    """Return the rates of reads and writes of the platform's table."""
     region_nodes = target.nodes // target.regions
     watchers = sum(
         MS
@@ -257,7 +258,7 @@
 
 
 def between_zones(target: Target) -> list[str]:
-    """Return what gateways send to other zones."""
+    """Return the traffic from gateways to other zones."""
     codec = peer_codec.PeerCodec('vm-0000', 'i' * 24, 1, [b'k' * 32])
     loads = tuple(
         messages.ZoneLoad('zone-00', f'service-{n:03d}', 90, *[10**6] * 5)
@@ -282,13 +283,14 @@
 
 
 def growth(target: Target) -> list[str]:
-    """Return the loads of a day and of losses."""
+    """Return the load on an ordinary day and after losses."""
     tokens = target.tokens_per_s / target.nodes
     streams = tokens * 0.029
     zone = target.zones / (target.zones - 1)
     region = target.regions / (target.regions - 1)
     moved = target.failures_per_day + target.replacements_per_day
-    # A VM that comes or goes moves the observers of its own upstreams.
+    # A VM that joins or leaves changes the observers of the upstreams that
+    # it observes.
     observed = observation.OBSERVERS * target.zone_upstreams
     observed /= target.zone_peers + 1
     return [
@@ -331,7 +333,7 @@
 
 
 def main() -> None:
-    """Write the figures into the page."""
+    """Write the figures to the page."""
     results = json.loads(control_cost.RESULTS.read_text(encoding='utf-8'))
     costs = [control_cost.Cost(**result) for result in results]
     target = Target()
--- a/benchmarks/forwarding_cost.py
+++ b/benchmarks/forwarding_cost.py
@@ -1,9 +1,9 @@
-"""Processor time of the forwarding path, and where it goes.
+"""Processor time and profile of the forwarding path.
 
-Run it as ``python -m benchmarks.forwarding_cost calls`` or ``streams``, with
-``--profiled`` for a profile. The entry VM's loop runs
-in the main thread, the stand-in platform and the callers in others, so
-that the loop's own processor time and profile are taken alone.
+Run as ``python -m benchmarks.forwarding_cost calls`` or ``streams``, with
+``--profiled`` for a profile. The event loop of the entry VM runs in the main
+thread; the stand-in platform and the callers run in other threads, so that
+only the loop's processor time is measured and profiled.
 """
 
 import cProfile
@@ -31,11 +31,11 @@
 
 
 def main(kind: str, profiled: bool = False) -> None:
-    """Measure one kind of request; a profile costs time of its own.
+    """Measure one kind of request; profiling adds to the measured time.
 
     Args:
         kind: ``calls`` or ``streams``.
-        profiled: Whether to print where the time goes.
+        profiled: Whether to print a profile.
     """
     registry.load_plugins('eelgrassknot.platform')
     logs.configure('error')
@@ -49,7 +49,7 @@
 
 
 def _measure(count, ask, profile):
-    """Return the loop's processor time for each request, in ms."""
+    """Return the loop's processor time per request, in ms."""
     platform = users_platform.Platform()
     platform.put_state(users_documents.desired_state(1))
     for number in (1, 2):
--- a/benchmarks/reporting/__init__.py
+++ b/benchmarks/reporting/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks of what the report costs a node."""
+"""Benchmarks of the cost of the report."""
--- a/benchmarks/reporting/cost.py
+++ b/benchmarks/reporting/cost.py
@@ -1,7 +1,8 @@
-"""Cost of the report on one node at the target's load.
+"""Cost of the report on one node at the target load.
 
-The bounds are the target's for all control of a node: 1.2% of a core,
-256 MB and 15 KB a second. Exits with 1 if the report alone breaks one.
+The bounds are the targets for all control functions of a node together:
+1.2% of a core, 256 MB and 15 KB per second. Exits with 1 if the report
+alone exceeds one of them.
 """
 
 import random
@@ -26,7 +27,7 @@
 INTERVAL_S = 60
 SCRAPE_S = 15
 ACCOUNTS = 4_600
-# So long do the requests of as many accounts take to arrive.
+# Time until every account has made one request.
 ALL_ACCOUNTS_S = ACCOUNTS / REQUESTS_PER_SECOND
 WARM_INTERVALS = 3
 READS = 10
@@ -124,7 +125,7 @@
 
 
 def _all_accounts(generator: random.Random) -> tuple[bytes, int]:
-    """Return the object and the memory if each account made a request."""
+    """Return the object and its memory if every account made a request."""
     facts = [_fact(generator, account) for account in range(ACCOUNTS)]
     tracemalloc.start()
     recorder = reporting_facts.vm_recorder()
--- a/eelgrassknot/cli/commands/audit.py
+++ b/eelgrassknot/cli/commands/audit.py
@@ -1,4 +1,4 @@
-"""``eelgrassknot audit``: what was changed, and by whom."""
+"""``eelgrassknot audit``: list changes and their authors."""
 
 import typing
 
@@ -15,11 +15,13 @@
 __all__ = ['audit']
 
 SinceOption = typing.Annotated[
-    str, typer.Option(help='From when: an age such as 24h, or a time.')
+    str, typer.Option(help='Start of the range: an age such as 24h or a time.')
+]
+UntilOption = typing.Annotated[
+    str, typer.Option(help='End of the range: an age or a time.')
 ]
-UntilOption = typing.Annotated[str, typer.Option(help='Until when.')]
 ServiceOption = typing.Annotated[
-    str | None, typer.Option(help='Only what concerns this service.')
+    str | None, typer.Option(help='Only changes that affect this service.')
 ]
 
 
@@ -34,7 +36,7 @@
     service: ServiceOption = None,
     as_json: console.JsonOption = False,
 ) -> None:
-    """List the changes of the system, the earliest first."""
+    """List the changes to the system in chronological order."""
     audit_filter = _filter(since, until, author, service)
     _print_records(
         _read(console.platform(context).table, audit_filter), as_json
@@ -47,7 +49,7 @@
     now_ms = clocks.WallClock().now_ms()
     since_ms = times.parse_time(since, now_ms)
     until_ms = times.parse_time(until, now_ms)
-    # Rows of this very millisecond are wanted too.
+    # Includes records of the current millisecond.
     return audit_reader.AuditFilter(since_ms, until_ms + 1, author, service)
 
 
@@ -69,4 +71,4 @@
         for line in audit_reader.format_record(record):
             typer.echo(line)
     if not found:
-        typer.echo('nothing was recorded')
+        typer.echo('no changes recorded')
--- a/eelgrassknot/cli/commands/deployment.py
+++ b/eelgrassknot/cli/commands/deployment.py
@@ -1,4 +1,4 @@
-"""``eelgrassknot deployment``: look at a deployment on its platform."""
+"""``eelgrassknot deployment``: inspect a deployment on its platform."""
 
 import pathlib
 import typing
@@ -29,16 +29,16 @@
 def check(
     file: typing.Annotated[
         pathlib.Path,
-        typer.Argument(help='The desired state, as it is written.'),
+        typer.Argument(help='File with the desired state.'),
     ],
     dialect: DialectOption = 'users',
     as_json: console.JsonOption = False,
 ) -> None:
-    """List what cannot work in a desired state; nothing is changed."""
+    """List the faults of a desired state without changing anything."""
     try:
         document = file.read_bytes()
     except OSError as error:
-        console.usage_error(f'{file} cannot be read: {error.strerror}')
+        console.usage_error(f'cannot read {file}: {error.strerror}')
     match _adapter(dialect).decode_state(document):
         case result.Ok(state):
             found = state_check.check_state(state)
@@ -50,7 +50,7 @@
         for fault in found:
             typer.echo(str(fault), err=True)
         if not found:
-            typer.echo(f'version {state.version} can be used')
+            typer.echo(f'version {state.version} is valid')
     if found:
         raise typer.Exit(console.ExitCode.REFUSED)
 
@@ -63,7 +63,7 @@
     dialect: DialectOption = 'users',
     as_json: console.JsonOption = False,
 ) -> None:
-    """Show the state in force, the upstreams and the entry VMs."""
+    """Show the current state, the upstreams and the entry VMs."""
     adapter = _adapter(dialect)
     match overview.read_overview(adapter.open_store(store), adapter, {}):
         case result.Ok(found):
--- a/eelgrassknot/cli/commands/explain.py
+++ b/eelgrassknot/cli/commands/explain.py
@@ -1,4 +1,4 @@
-"""``eelgrassknot explain``: what became of one request."""
+"""``eelgrassknot explain``: find out why a request ended as it did."""
 
 import pathlib
 import typing
@@ -23,7 +23,7 @@
     ],
     as_json: console.JsonOption = False,
 ) -> None:
-    """Tell from the logs what became of a request, and why."""
+    """Show the history of a request from logs and the cause of its end."""
     lines: list[str] = []
     for path in logs:
         text = path.read_text(encoding='utf-8', errors='replace')
--- a/eelgrassknot/cli/commands/orders.py
+++ b/eelgrassknot/cli/commands/orders.py
@@ -1,4 +1,4 @@
-"""``eelgrassknot orders``: leases, rollouts and each engine's last order."""
+"""``eelgrassknot orders``: show leases, rollouts and orders to engines."""
 
 import typing
 
@@ -20,10 +20,10 @@
 
 
 class OrdersOverview(msgspec.Struct, frozen=True):
-    """Who may order engines, and what was ordered.
+    """Leases, rollouts and the last order to each engine.
 
     Attributes:
-        leases: Lease on the orders of each region.
+        leases: Lease on sending orders, by region.
     """
 
     leases: dict[str, rows.LeaseRecord]
@@ -39,7 +39,7 @@
     ] = None,
     as_json: console.JsonOption = False,
 ) -> None:
-    """Show who may order engines, the rollouts, and the last orders."""
+    """Show lease holders, rollouts and the last order to each engine."""
     table = console.platform(context).table
     book = OrdersOverview(
         _read_records(table, rows.LEASE_TABLE, rows.LeaseRecord),
--- a/eelgrassknot/cli/commands/report.py
+++ b/eelgrassknot/cli/commands/report.py
@@ -1,4 +1,4 @@
-"""``eelgrassknot report``: who waited, and what was paid twice."""
+"""``eelgrassknot report``: show request latency, outcomes and cost."""
 
 import enum
 import pathlib
@@ -22,7 +22,7 @@
 
 
 class Format(enum.Enum):
-    """Formats by their names in the registry."""
+    """Output formats; the values are names in the registry."""
 
     TEXT = 'text'
     JSON = 'json'
@@ -34,9 +34,12 @@
 def report(
     context: typer.Context,
     since: typing.Annotated[
-        str, typer.Option(help='From when: an age such as 24h, or a time.')
+        str,
+        typer.Option(help='Start of the range: an age such as 24h or a time.'),
     ] = '24h',
-    until: typing.Annotated[str, typer.Option(help='Until when.')] = 'now',
+    until: typing.Annotated[
+        str, typer.Option(help='End of the range: an age or a time.')
+    ] = 'now',
     service: typing.Annotated[
         str | None, typer.Option(help='Only this service.')
     ] = None,
@@ -48,13 +51,13 @@
         bool, typer.Option('--csv', help='Print CSV for spreadsheets.')
     ] = False,
     html: typing.Annotated[
-        bool, typer.Option('--html', help='Print one page to open or print.')
+        bool, typer.Option('--html', help='Print a self-contained HTML page.')
     ] = False,
     output: typing.Annotated[
-        pathlib.Path | None, typer.Option(help='Write to this file.')
+        pathlib.Path | None, typer.Option(help='Output file.')
     ] = None,
 ) -> None:
-    """Merge what all VMs wrote in a range of time into one report."""
+    """Show a report on all VMs for a time range."""
     chosen = _format(as_json, csv, html)
     report_filter = _filter(since, until, service, client_account)
     platform = console.platform(context)
@@ -88,7 +91,7 @@
     since_ms = times.parse_time(since, now_ms)
     until_ms = times.parse_time(until, now_ms)
     if since_ms >= until_ms:
-        console.usage_error('--since has to be before --until')
+        console.usage_error('--since must be before --until')
     return messages.ReportFilter(since_ms, until_ms, service, client_account)
 
 
--- a/eelgrassknot/cli/commands/status.py
+++ b/eelgrassknot/cli/commands/status.py
@@ -1,4 +1,4 @@
-"""``eelgrassknot status``: what each entry VM says of itself."""
+"""``eelgrassknot status``: show the status of each entry VM."""
 
 import concurrent.futures
 import typing
@@ -20,12 +20,12 @@
 
 TIMEOUT_MS = 2_000
 MAX_THREADS = 16
-# Hosts that mean "all addresses" to a listener, and nothing to a caller.
+# Wildcard hosts: valid for a listener, but not as a destination.
 WILDCARD_HOSTS = ('0.0.0.0', '[::]', '::')
 
 
 class StatusDocument(msgspec.Struct, frozen=True):
-    """What is read of a VM's own status document."""
+    """The fields used of a VM's status document."""
 
     vm: str
     incarnation: str = ''
@@ -38,8 +38,8 @@
     """Status of one VM.
 
     Attributes:
-        behind: Versions that it has still to adopt, or None if unknown.
-        document: Its whole status document, or None without an answer.
+        behind: Number of versions it has yet to adopt, None if unknown.
+        document: Its complete status document, None without an answer.
     """
 
     vm: str
@@ -64,10 +64,10 @@
     as_json: console.JsonOption = False,
     operators_port: typing.Annotated[
         int | None,
-        typer.Option(help="Port of all VMs' operators' listeners."),
+        typer.Option(help="Port of the operators' listener of every VM."),
     ] = None,
 ) -> None:
-    """Show each entry VM, and who is behind the text in force."""
+    """Show each entry VM and whether it has the current services text."""
     platform = console.platform(context)
     version = _version_in_force(platform.table)
     match platform.vms.list_vms():
@@ -88,7 +88,7 @@
     if as_json:
         console.print_json(Status(version, found))
         return
-    typer.echo(f'version {version} of the text is in force')
+    typer.echo(f'current version of the services text: {version}')
     console.print_table(
         ('vm', 'availability zone', 'state', 'version', 'behind', 'note'),
         [_status_row(vm) for vm in found],
@@ -106,10 +106,10 @@
 def _address(
     vm: base.VmEntry, known: str | None, operators_port: int | None
 ) -> str:
-    """Return where a VM is to be asked.
+    """Return the address at which to request the status of a VM.
 
-    The platform's list names one port of a VM, which need not be the
-    operators'; the VM itself writes that beside its part of the report.
+    The platform lists one port per VM, which need not be the operators'
+    port; the VM stores that address with its parts of the report.
     """
     if operators_port is not None:
         return f'{vm.address}:{operators_port}'
--- a/eelgrassknot/cli/console.py
+++ b/eelgrassknot/cli/console.py
@@ -1,4 +1,4 @@
-"""What all commands share: application, platform, output, exit codes."""
+"""Common parts of all commands: application, platform, output, exit codes."""
 
 import enum
 import os
@@ -30,7 +30,7 @@
     no_args_is_help=True,
     add_completion=False,
     pretty_exceptions_enable=False,
-    help='Look at the system, and change its one text.',
+    help='Inspect the system and change its services text.',
 )
 
 JsonOption = typing.Annotated[
@@ -39,7 +39,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What the exit code of a command tells."""
+    """Exit codes of the commands."""
 
     DONE = 0
     REFUSED = 1
@@ -67,12 +67,12 @@
         str, typer.Option(help='Plug-in that reaches the platform.')
     ] = 'http',
 ) -> None:
-    """Look at the system, and change its one text."""
+    """Inspect the system and change its services text."""
     context.obj = (plugin, platform)
 
 
 def platform(context: typer.Context) -> base.Platform:
-    """Return the platform that the options name.
+    """Return the platform given by the command line options.
 
     Args:
         context: Context of the command.
@@ -80,7 +80,7 @@
     plugin, url = context.obj
     if not url.startswith(('http://', 'https://')):
         usage_error(
-            'name the platform: eelgrassknot --platform http://IP:port'
+            'name the platform with eelgrassknot --platform http://IP:port'
         )
     registry.load_plugins('eelgrassknot.storage')
     try:
@@ -90,7 +90,7 @@
 
 
 def fail(error: exceptions.EelgrassknotError) -> typing.NoReturn:
-    """Print an error with its remedy, and end with its exit code."""
+    """Print an error with its remedy and exit with its exit code."""
     typer.echo(f'error: {error}', err=True)
     is_unclear = isinstance(error, _UNKNOWN_OUTCOME_ERRORS)
     code = ExitCode.UNREACHABLE_OR_UNKNOWN if is_unclear else ExitCode.REFUSED
@@ -98,7 +98,7 @@
 
 
 def usage_error(message: str) -> typing.NoReturn:
-    """Say how the command is to be used, and end with exit code 2."""
+    """Print a usage error and exit with code 2."""
     typer.echo(f'error: {message}', err=True)
     raise typer.Exit(ExitCode.USAGE)
 
@@ -121,6 +121,6 @@
 
 
 def close_output() -> None:
-    """Leave standard output closed after its reader has gone."""
-    # The interpreter would complain when it flushes at its end.
+    """Redirect standard output to the null device after a broken pipe."""
+    # Otherwise the interpreter reports an error when it flushes on exit.
     os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small fakes of the systems that the product is connected to."""
+"""Stand-ins for the systems that eelgrassknot connects to."""
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -1,4 +1,4 @@
-"""Load tool: callers of streams and of plain calls with their records."""
+"""Load generator: callers of streams and plain calls that record results."""
 
 import collections.abc
 import dataclasses
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class EntryPoint:
-    """An entry VM as the balancer reaches it."""
+    """Address of an entry VM for the load balancer."""
 
     vm: str
     address: str
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Workload:
-    """What the callers ask for.
+    """Requests that the callers send.
 
     Attributes:
         model: Service of the streams.
@@ -32,10 +32,11 @@
         booking: Path of a non-idempotent POST.
         keys: Bearer keys of the accounts.
         mean_tokens: Mean length of the answers.
-        pause_s: Mean time that a caller waits between requests.
-        patience_s: How long a caller tries to resume an answer.
-        whole_share: Share of the answers that are not streamed.
-        left_share: Share of the streams that their callers give up.
+        mean_pause_s: Mean pause of a caller between requests.
+        progress_timeout_s: How long a caller waits for the answer to a
+            plain call, or resumes a stream without receiving new tokens.
+        unstreamed_share: Fraction of answers that are not streamed.
+        abandoned_share: Fraction of streams that their callers abandon.
     """
 
     model: str
@@ -45,18 +46,18 @@
     keys: tuple[str, ...]
     mean_tokens: int = 60
     mean_pause_s: float = 0.2
-    resume_timeout_s: float = 20.0
+    progress_timeout_s: float = 20.0
     unstreamed_share: float = 0.0
     abandoned_share: float = 0.0
 
 
 class Callers:
-    """Runs callers in threads until they are told to stop.
+    """Runs callers in threads until they are stopped.
 
     Args:
-        mix: What they ask for.
-        entry_points: Where the balancer sends them.
-        seed: Seed of all choices.
+        workload: Requests to send.
+        entry_points: Entry VMs among which the load balancer chooses.
+        seed: Seed of all random choices.
     """
 
     def __init__(
@@ -72,7 +73,7 @@
         self.threads: list[threading.Thread] = []
 
     def start(self, streams: int, calls: int) -> None:
-        """Start callers of streams and callers of plain calls."""
+        """Start the given numbers of stream and plain callers."""
         kinds = [('s', self._run_stream)] * streams
         kinds += [('c', self._run_plain)] * calls
         for number, (letter, ask) in enumerate(kinds):
@@ -84,17 +85,17 @@
             thread.start()
 
     def stop(self) -> None:
-        """Let every caller finish what it is at, then end."""
+        """Let every caller finish its current request, then stop."""
         self.stopped.set()
         for thread in self.threads:
             thread.join()
 
     def set_entry_points(self, entry_points: list[EntryPoint]) -> None:
-        """Tell the balancer which entry VMs are ready."""
+        """Update the entry VMs that the load balancer uses."""
         self.entry_points = list(entry_points)
 
     def choose_entry_point(self, generator: random.Random) -> EntryPoint:
-        """Return where the balancer sends a connection."""
+        """Return a random entry VM, as a load balancer would."""
         return generator.choice(self.entry_points)
 
     def _run(
--- a/standins/checkers.py
+++ b/standins/checkers.py
@@ -1,4 +1,4 @@
-"""Checks of the users' invariants on recorded histories.
+"""Checks of the required invariants on recorded histories.
 
 Each checker is a pure function from a history to its violations.
 """
@@ -15,8 +15,8 @@
 
 LEAVING_GRACE_MS = 5_000.0
 CONFIG_PROPAGATION_MS = 13_000.0
-# These compare with a bound on the wall clock, which a busy machine can
-# break: timed runs count them, repeated ones leave them out.
+# These checkers compare with bounds on elapsed time, which a busy machine
+# can exceed. Timed runs include them; repeatable tests ignore them.
 TIMED_CHECKERS = frozenset({'config_spreads', 'leavers_get_nothing_new'})
 
 
@@ -117,7 +117,7 @@
     ran |= {g.request_id for g in history.generations if g.produced}
     for record in [*history.calls, *history.streams]:
         if record.outcome == 'not_run' and record.request_id in ran:
-            yield record.request_id, 'was refused as not run, yet ran'
+            yield record.request_id, 'was refused as not run, but ran'
 
 
 @_checker('at_most_once')
@@ -141,7 +141,7 @@
     for call in history.calls:
         operation = _operation_id(call.request_id, call.key)
         if call.outcome == 'done' and operation not in ran:
-            yield call.request_id, 'was answered, yet never ran'
+            yield call.request_id, 'was answered, but never ran'
 
 
 @_checker('nothing_dropped')
@@ -151,7 +151,7 @@
     for record in [*history.streams, *history.calls]:
         if record.outcome == 'cut':
             waited_ms = record.ended_ms - record.started_ms
-            reason = f'told nothing for {waited_ms:.0f} ms'
+            reason = f'no answer within {waited_ms:.0f} ms'
             yield record.request_id, reason
 
 
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -1,4 +1,4 @@
-"""A whole deployment on loopback: stand-ins, proxy and daemons."""
+"""A complete deployment on loopback: stand-ins, proxy and daemons."""
 
 import concurrent.futures
 import pathlib
@@ -29,16 +29,15 @@
 
 
 class Cluster:
-    """Starts, harms and ends the processes of a deployment.
+    """Manages the processes of a deployment and injects faults.
 
-    Every connection between zones, to the platform, to the upstreams and
-    from the callers goes through the proxy. A link is named
-    ``FROM>TO>VM`` after the zone that connects, the zone of the target
-    and the target.
+    All connections between zones, to the platform, to the upstreams and
+    from the callers go through the proxy. A link is named ``FROM>TO>VM``
+    after the connecting zone, the zone of the target and the target.
 
     Args:
-        shape: What to start.
-        directory: Where logs and settings are kept.
+        shape: Composition of the cluster.
+        directory: Directory for logs and settings.
         seed: Seed of the stand-ins.
 
     Example:
@@ -76,7 +75,7 @@
         self.close()
 
     def start(self) -> None:
-        """Start everything and put the first text in force."""
+        """Start all processes and accept the first services text."""
         self._start_standins()
         example = examples.create(self.shape.deployment, 'http://x', HOST, 1)
         self.account_keys = dict(example.account_keys)
@@ -92,7 +91,7 @@
             self.start_daemon(vm)
 
     def close(self) -> None:
-        """End all processes."""
+        """Kill all processes."""
         for child in self.children:
             child.kill()
 
@@ -179,16 +178,16 @@
         processes.ask(self.proxy.address, 'POST', '/groups', rates)
 
     def link(self, zone: str, vm: str) -> str:
-        """Return the address by which a zone reaches a VM."""
+        """Return the address at which a zone reaches a VM."""
         return self.topology.link(zone, vm)
 
     def publish_vms(self) -> None:
-        """Tell the platform which VMs live, as each zone reaches them."""
+        """Send the platform the list of VMs as seen from each zone."""
         lists = self.topology.vm_lists(self.upstreams, self.settings)
         processes.ask(self.platform.address, 'PUT', '/control/vms', lists)
 
     def accept_services_text(self) -> bool:
-        """Put the present text in force; return whether it was accepted."""
+        """Submit the services text; return whether it was accepted."""
         document = msgspec.json.encode(self.services_text).decode()
         table = http_storage.create(f'http://{self.platform.address}').table
         outcome = config_store.accept(
@@ -197,7 +196,7 @@
         return outcome.is_ok()
 
     def start_daemon(self, vm: str) -> None:
-        """Start the daemon of an entry VM, or start it anew."""
+        """Start or restart the daemon of an entry VM."""
         settings = self.settings[vm]
         zone = settings.availability_zone
         peers = tuple(
@@ -223,7 +222,7 @@
         self.daemons[vm] = child
 
     def wait_ready(self, vms: list[str] | None = None) -> None:
-        """Wait until daemons say that they are ready and know upstreams."""
+        """Wait until daemons report that they are ready."""
         names = list(self.settings) if vms is None else vms
         with concurrent.futures.ThreadPoolExecutor(len(names)) as pool:
             for _ in pool.map(self._wait_ready, names):
@@ -233,7 +232,7 @@
         def ready() -> bool:
             if not self.daemons[vm].is_running:
                 log = self.daemons[vm].log
-                raise RuntimeError(f'{vm} ended; see {log}')
+                raise RuntimeError(f'{vm} exited; see {log}')
             return self.is_ready(vm)
 
         try:
@@ -244,13 +243,13 @@
             raise RuntimeError(f'{error}: {reasons.decode()}') from error
 
     def is_ready(self, vm: str) -> bool:
-        """Return whether a daemon says that it is ready."""
+        """Return whether a daemon reports that it is ready."""
         operators = self.settings[vm].listen.operators
         status, _ = processes.ask(operators, 'GET', '/readyz', None, 2.0)
         return status == 200
 
     def status(self, vm: str) -> dict:
-        """Return the status document of a daemon; empty if none came."""
+        """Return the status document of a daemon, or {} if unreachable."""
         operators = self.settings[vm].listen.operators
         return processes.ask_json(operators, 'GET', '/status')
 
@@ -263,11 +262,11 @@
         ]
 
     def set_control(self, child: processes.Child, changes: dict) -> None:
-        """Tell a stand-in what to suffer from."""
+        """Change the simulated faults of a stand-in."""
         processes.ask(child.address, 'POST', '/control', changes)
 
     def set_faults(self, links: list[str], **faults: object) -> None:
-        """Set faults on links of the proxy."""
+        """Set faults on matching links of the proxy."""
         order = {'links': links, **faults}
         processes.ask(self.proxy.address, 'POST', '/faults', order)
 
@@ -276,15 +275,15 @@
         self.daemons[vm].kill()
 
     def terminate(self, vm: str) -> None:
-        """Ask a daemon to drain and end."""
+        """Tell a daemon to drain and exit."""
         self.daemons[vm].signal(signal.SIGTERM)
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that no process has bound.
+    """Return unused ports.
 
-    They lie below the range from which the system takes the ports of
-    outgoing connections, which could take them before a daemon does.
+    The ports are below the ephemeral range. An ephemeral port could be
+    taken by an outgoing connection before a daemon binds it.
     """
     ports: list[int] = []
     while len(ports) < count:
--- a/standins/counters.py
+++ b/standins/counters.py
@@ -1,4 +1,4 @@
-"""Counts of reads and writes, in total and for each second."""
+"""Event counters with totals, peaks and recent rates."""
 
 import collections
 import threading
@@ -38,7 +38,7 @@
                 del seconds[old]
 
     def summary(self, now_ms: float) -> dict[str, dict[str, float]]:
-        """Return totals, peaks and rates over the last full seconds."""
+        """Return totals, peaks and rates over the last complete seconds."""
         current = int(now_ms // clocks.MS_PER_SECOND)
         with self.lock:
             return {
--- a/standins/degradation.py
+++ b/standins/degradation.py
@@ -1,4 +1,4 @@
-"""What was served while a fault lasted, beside what was served before."""
+"""Comparison of the requests served before and during faults."""
 
 import collections
 import collections.abc
@@ -14,10 +14,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class FaultWindow:
-    """When a round's faults began and were healed, in milliseconds.
+    """Time range of a round's faults, in milliseconds.
 
     Attributes:
-        cut_off: Entry VMs of a zone that was cut off.
+        cut_off: Entry VMs in a partitioned zone.
     """
 
     begin_ms: float
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class OutcomeSummary:
-    """Outcomes of the requests that began in some span of time."""
+    """Outcomes of the requests that started in a time range."""
 
     name: str
     outcomes: collections.Counter
@@ -43,11 +43,11 @@
 def summarize(
     history: histories.History, window: FaultWindow
 ) -> list[OutcomeSummary]:
-    """Return what was served before the faults and while they lasted.
+    """Summarize the requests that started before and during the faults.
 
     Args:
         history: Records of a round.
-        window: When its faults lasted.
+        window: Time range of the faults.
     """
     kinds = (
         ('streams', [(s, s.vms[0]) for s in history.streams if s.vms]),
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""Demonstration on loopback: a mixed load, a lost VM, a whole answer."""
+"""Demonstration on loopback: an answer survives the loss of its entry VM."""
 
 import collections
 import pathlib
@@ -34,7 +34,7 @@
 
 
 def main() -> None:
-    """Show the system at work; exit 0 if nothing was lost or doubled."""
+    """Run the demonstration; exit with 0 if no invariant was violated."""
     _print('starting the stand-ins and three daemons on loopback')
     shape = shapes.minimal(shapes.shape_of('nadroga'))
     with clusters.Cluster(shape, DIRECTORY, seed=1) as cluster:
@@ -94,7 +94,7 @@
     stream = stream_caller.Stream(single, record, random.Random(2))
     thread = threading.Thread(target=stream.run, args=(mix.keys[0],))
     thread.start()
-    _print(f'a write-up of {LONG_ANSWER_TOKENS} tokens begins at {first.vm}')
+    _print(f'an answer of {LONG_ANSWER_TOKENS} tokens starts at {first.vm}')
     processes.wait_until(
         lambda: len(record.tokens) >= TOKENS_BEFORE_KILL,
         f'{TOKENS_BEFORE_KILL} tokens',
@@ -117,8 +117,8 @@
     )
     _print(f'resumed at {record.vms[-1]}: ... {before} | {after} ...')
     _print(
-        f'the caller has {len(record.tokens)} of {record.wanted_tokens} '
-        f'tokens; outcome {record.outcome}'
+        f'the caller received {len(record.tokens)} of '
+        f'{record.wanted_tokens} tokens; outcome {record.outcome}'
     )
 
 
@@ -137,8 +137,8 @@
         ('desk-app', history.calls),
     ):
         outcomes = collections.Counter(record.outcome for record in records)
-        told = ', '.join(f'{n} {o}' for o, n in sorted(outcomes.items()))
-        _print(f'{name}: {len(records)} requests were told: {told}')
+        counts = ', '.join(f'{n} {o}' for o, n in sorted(outcomes.items()))
+        _print(f'{name}: {len(records)} requests with outcomes: {counts}')
     return history
 
 
@@ -160,14 +160,14 @@
 
 
 def _drain(cluster: clusters.Cluster) -> None:
-    """Have the daemons write their last part of the report and end."""
-    _print('draining the daemons that are left')
+    """Drain the daemons, so that they write their last report part."""
+    _print('draining the remaining daemons')
     left = [vm for vm, child in cluster.daemons.items() if child.is_running]
     for vm in left:
         cluster.terminate(vm)
     for vm in left:
         code = cluster.daemons[vm].process.wait(DRAIN_TIMEOUT_S)
-        _print(f'  {vm} has ended with exit code {code}')
+        _print(f'  {vm} exited with code {code}')
 
 
 def _report(cluster: clusters.Cluster) -> int:
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine: the model of its batch behind HTTP."""
+"""Stand-in of a model engine: a batching simulation behind HTTP."""
 
 import collections.abc
 import os
@@ -25,17 +25,17 @@
 
 
 class Control(msgspec.Struct):
-    """What the engine is told to suffer from.
+    """Simulated faults and delays of the engine.
 
     Attributes:
-        slowdown: Factor on the time of each step.
-        stalled: Whether no step is run at all.
+        slowdown: Factor on the duration of each step.
+        stalled: Whether the engine runs no steps.
         state: ``live`` or ``leaving``.
-        load_lag_ms: Age of the load that it reports.
-        cache_lag_ms: Age of the newest cache event that it reports.
-        cache_gap_probability: Chance for each cache event to be lost.
-        keep_ms: How long a generation is known after its end.
-        mute_streams: Whether open streams send nothing more.
+        load_lag_ms: Age of the reported load.
+        cache_lag_ms: Age of the newest reported cache event.
+        cache_gap_probability: Probability that a cache event is lost.
+        keep_ms: How long a generation is kept after its end.
+        mute_streams: Whether open streams send no further events.
     """
 
     slowdown: float = 1.0
@@ -49,11 +49,11 @@
 
 
 class Record(msgspec.Struct):
-    """What one generation was, for the checkers.
+    """Record of one generation for the checkers.
 
     Attributes:
-        at_ms: When it was accepted, on the machine's monotonic clock.
-        attaches: How many streams were opened on it.
+        at_ms: Time of acceptance on the machine's monotonic clock.
+        attaches: Number of streams opened for it.
     """
 
     generation: str
@@ -65,11 +65,11 @@
 
 
 class Engine:
-    """Drives the model in real time and answers HTTP.
+    """Runs the simulation in real time and serves HTTP.
 
     Args:
-        model: The batch.
-        orders: What the engine holds and whom it obeys.
+        model: Simulation of the batch.
+        orders: Loaded models and received orders.
         seed: Seed of the gaps in the cache events.
     """
 
@@ -114,7 +114,7 @@
             self.application.add(method, rule, handler)
 
     def run(self) -> None:
-        """Step the batch for as long as the process lives."""
+        """Step the simulation until the process exits."""
         next_snapshot_ms = 0.0
         while True:
             now_ms = self.clock.now_ms()
@@ -153,7 +153,7 @@
             del self.token_conditions[generation]
 
     def complete(self, request: wrappers.Request) -> wrappers.Response:
-        """Start a generation, or attach to the one that has this id."""
+        """Start a generation, or attach to an existing one with its id."""
         body = serving.read_json(request)
         generation = request.headers.get('X-Generation-Id', '')
         if not generation:
@@ -192,7 +192,7 @@
     def resume(
         self, request: wrappers.Request, generation: str
     ) -> wrappers.Response:
-        """Stream a known generation from an index on."""
+        """Stream an existing generation starting at a token index."""
         first = request.args.get('from', 0, type=int)
         with self.lock:
             if generation not in self.model.generations:
@@ -244,7 +244,7 @@
     def get_status(
         self, request: wrappers.Request, generation: str
     ) -> wrappers.Response:
-        """Return where a generation stands, or 404."""
+        """Return the progress of a generation, or 404."""
         with self.lock:
             state = self.model.generations.get(generation)
             if state is None:
@@ -256,7 +256,7 @@
     def cancel(
         self, request: wrappers.Request, generation: str
     ) -> wrappers.Response:
-        """End a generation; repeating it changes nothing."""
+        """Cancel a generation; idempotent."""
         with self.lock:
             self._cancel(generation)
         return serving.json_answer({})
@@ -267,7 +267,7 @@
             self._notify_streams(generation)
 
     def get_load(self, request: wrappers.Request) -> wrappers.Response:
-        """Return the load as it was some time ago."""
+        """Return the load with the configured lag."""
         visible_ms = self.clock.now_ms() - self.control.load_lag_ms
         with self.lock:
             load = self.telemetry.load(visible_ms)
@@ -282,7 +282,7 @@
         )
 
     def get_cache_events(self, request: wrappers.Request) -> wrappers.Response:
-        """Return the cache events that are old enough, with gaps."""
+        """Return cache events with the configured lag and gaps."""
         after = request.args.get('after', 0, type=int)
         visible_ms = self.clock.now_ms() - self.control.cache_lag_ms
         with self.lock:
@@ -291,7 +291,7 @@
         return serving.json_answer({'events': events, 'next': last})
 
     def order(self, request: wrappers.Request) -> wrappers.Response:
-        """Take an order, or refuse one with an old fencing number."""
+        """Accept an order, or refuse one with a stale fencing number."""
         order = msgspec.json.decode(
             request.get_data(), type=engine_orders.Order
         )
@@ -303,16 +303,16 @@
         return serving.json_answer({}, 202)
 
     def get_orders(self, request: wrappers.Request) -> wrappers.Response:
-        """Return what the engine holds and is loading."""
+        """Return the loaded models and pending orders."""
         with self.lock:
             return serving.json_answer(self.orders.state(self.clock.now_ms()))
 
     def get_control(self, request: wrappers.Request) -> wrappers.Response:
-        """Return the faults that are set."""
+        """Return the current faults."""
         return serving.json_answer(self.control)
 
     def set_control(self, request: wrappers.Request) -> wrappers.Response:
-        """Replace the faults that the body names."""
+        """Change the faults given in the body."""
         changes = serving.read_json(request)
         with self.lock:
             self.control = serving.merge_changes(self.control, changes)
@@ -325,7 +325,7 @@
         return serving.json_answer(self.control)
 
     def reclaim(self, request: wrappers.Request) -> wrappers.Response:
-        """Say that the engine is leaving, then exit after a notice."""
+        """Announce that the engine is leaving, and exit after a delay."""
         notice_ms = serving.read_json(request).get('notice_ms', 2_000.0)
         with self.lock:
             self.control = serving.merge_changes(
@@ -340,7 +340,7 @@
         return serving.json_answer({})
 
     def forget(self, request: wrappers.Request) -> wrappers.Response:
-        """Lose all generations, as an engine that was started anew."""
+        """Drop all generations, like an engine that was restarted."""
         with self.lock:
             for generation in list(self.model.generations):
                 self._cancel(generation)
@@ -350,7 +350,7 @@
         return serving.json_answer({})
 
     def get_history(self, request: wrappers.Request) -> wrappers.Response:
-        """Return what each generation produced, and the orders taken."""
+        """Return the records of generations and orders."""
         with self.lock:
             return serving.json_answer(
                 {
@@ -377,7 +377,7 @@
     check_fencing: bool = True,
     load_time_ms: float = 500.0,
 ) -> None:
-    """Serve an engine's stand-in until SIGTERM."""
+    """Run an engine's stand-in until SIGTERM."""
     config = engine_model.EngineConfig(
         kv_tokens_total=kv_tokens,
         max_running=max_running,
--- a/standins/engine_model.py
+++ b/standins/engine_model.py
@@ -1,7 +1,7 @@
-"""Pure model of a continuously batching engine.
+"""Simulation of an engine with continuous batching.
 
-Time stands outside: ``advance`` runs the decode steps that have ended by
-the time that it is given. The same object serves behind HTTP and, with a
+The simulation has no clock of its own: ``advance`` runs the decode steps
+that end by a given time. The same class is used behind HTTP and, with a
 ``ManualClock``, in benchmarks and tests.
 """
 
@@ -31,20 +31,22 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineConfig:
-    """Sizes and speeds of an engine.
+    """Capacity and speed of an engine.
 
     Attributes:
-        kv_tokens_total: Memory for running generations and the cache.
-        max_running: Most generations in one batch.
-        max_waiting: Generations that may wait before new ones are
-            refused.
-        step_base_ms: Time of a decode step with an empty batch.
-        step_sequence_ms: Time that each generation adds to a step.
-        step_context_ms: Time that each thousand tokens of context adds.
-        prefill_token_ms: Time that each uncached prompt token adds.
-        mean_output_tokens: Median of the outputs that nobody asked for.
-        output_sigma: Spread of the logarithm of the output length.
-        slowdown: Factor on the time of each step.
+        kv_tokens_total: KV memory for running generations and the prefix
+            cache, in tokens.
+        max_running: Maximum number of generations in a batch.
+        max_waiting: Maximum number of queued generations; further ones
+            are refused.
+        step_base_ms: Duration of a decode step with an empty batch.
+        step_sequence_ms: Additional step time per generation.
+        step_context_ms: Additional step time per 1000 context tokens.
+        prefill_token_ms: Additional step time per uncached prompt token.
+        mean_output_tokens: Median output length of prompts that request
+            no length.
+        output_sigma: Standard deviation of the log output length.
+        slowdown: Factor on the duration of each step.
     """
 
     kv_tokens_total: int = 60_000
@@ -61,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Token:
-    """A generation produced the token of an index."""
+    """A generation produced the token with an index."""
 
     generation: str
     index: int
@@ -70,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Preempted:
-    """A generation lost its memory and waits to be computed again."""
+    """A generation lost its KV memory and waits for recomputation."""
 
     generation: str
     at_ms: float
@@ -94,13 +96,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Generation:
-    """One generation, from its submission to its end.
+    """One generation from submission to its end.
 
     Attributes:
-        output_tokens: Length that it will reach; nobody outside knows it.
+        output_tokens: Final output length, which is not exposed.
         state: ``waiting``, ``running``, ``preempted``, ``done`` or
             ``cancelled``.
-        prefill_tokens: What the next step has to compute for it.
+        prefill_tokens: Tokens that the next step has to prefill.
     """
 
     generation: str
@@ -119,22 +121,22 @@
 
     @property
     def context_tokens(self) -> int:
-        """Tokens that it holds in memory while it runs."""
+        """KV memory that it uses while running, in tokens."""
         return self.prompt_tokens + self.produced
 
     @property
     def is_active(self) -> bool:
-        """Whether it may still produce tokens."""
+        """Whether it can still produce tokens."""
         return self.state in ('waiting', 'running', 'preempted')
 
 
 class EngineModel:
-    """Steps a batch of generations through time.
+    """Simulates the batch of an engine over time.
 
     Args:
-        config: Sizes and speeds; may be changed between calls.
-        seed: Seed of the output lengths, which depend on it and on the
-            request alone.
+        config: Capacity and speed; may be changed between calls.
+        seed: Seed of the output lengths. They depend only on the seed and
+            on the request.
 
     Example:
         >>> engine = EngineModel(EngineConfig(), seed=1)
@@ -169,10 +171,10 @@
         is_interactive: bool,
         now_ms: float,
     ) -> Generation:
-        """Queue a generation, or return the one that has this id.
+        """Queue a generation, or return the existing one with its id.
 
         Raises:
-            FullError: If too many wait already.
+            FullError: If the queue is full.
         """
         known = self.generations.get(generation)
         if known is not None:
@@ -217,7 +219,7 @@
         return length, 'stop'
 
     def cancel(self, generation: str, now_ms: float) -> None:
-        """End a generation at once; harmless when it is over."""
+        """Cancel a generation; no effect if it has already ended."""
         cancelled = self.generations.get(generation)
         if cancelled is None or not cancelled.is_active:
             return
@@ -226,7 +228,7 @@
         cancelled.ended_ms = now_ms
 
     def forget(self, before_ms: float) -> list[str]:
-        """Drop what ended before a time and return the ids."""
+        """Drop generations that ended by a time and return their ids."""
         old = [
             generation.generation
             for generation in self.generations.values()
@@ -238,21 +240,21 @@
         return old
 
     def next_ms(self) -> float | None:
-        """Return when the present step ends; None while idle."""
+        """Return the end of the current step, or None if idle."""
         return self.step_ends_ms
 
     def kv_tokens_used(self) -> int:
-        """Return the memory that running generations hold, in tokens."""
+        """Return the KV memory used by running generations, in tokens."""
         return sum(g.context_tokens for g in self.running)
 
     def advance(self, now_ms: float) -> list[Event]:
         """Run all steps that end by a time.
 
         Args:
-            now_ms: The present time; never less than in earlier calls.
+            now_ms: Current time; must not decrease between calls.
 
         Returns:
-            What happened, in order.
+            Events in chronological order.
         """
         events: list[Event] = []
         while True:
@@ -290,7 +292,7 @@
         while self.waiting and len(self.running) < self.config.max_running:
             first = self.waiting[0]
             needed = first.context_tokens + 1
-            # A generation alone is let in whatever its size.
+            # A single generation is admitted regardless of its size.
             if needed > free and self.running:
                 break
             self.waiting.pop(0)
@@ -346,7 +348,7 @@
 
 
 def token_text(request_id: str, generation: str, index: int) -> str:
-    """Return the text of one token, which names where it comes from.
+    """Return the text of a token, which identifies its origin.
 
     Example:
         >>> token_text('r', 'g', 7).endswith('-7 ')
--- a/standins/engine_orders.py
+++ b/standins/engine_orders.py
@@ -1,4 +1,4 @@
-"""What an engine's stand-in holds, and the orders that it takes."""
+"""Loaded models of an engine's stand-in and the orders it receives."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class Order(msgspec.Struct):
-    """Target state that an engine is told to reach."""
+    """Target state that an engine is ordered to reach."""
 
     order: str
     model: str = ''
@@ -17,7 +17,7 @@
 
 
 class Held(msgspec.Struct):
-    """A model in memory."""
+    """A loaded model."""
 
     model: str
     version: str
@@ -25,7 +25,7 @@
 
 
 class OrderRecord(msgspec.Struct):
-    """An order with what became of it."""
+    """A received order and whether it was accepted."""
 
     at_ms: float
     order: Order
@@ -33,12 +33,12 @@
 
 
 class Orders:
-    """Takes orders in turn; each takes effect after a load time.
+    """Accepts orders, each of which takes effect after a load time.
 
     Args:
-        check_fencing: Whether old fencing numbers are refused.
-        load_time_ms: Time until an order takes effect.
-        role: Role at the start.
+        check_fencing: Whether stale fencing numbers are refused.
+        load_time_ms: Delay until an order takes effect.
+        role: Initial role.
     """
 
     def __init__(
@@ -53,15 +53,15 @@
         self.taken: list[OrderRecord] = []
 
     def hold(self, model: str, version: str, adapters: list[str]) -> None:
-        """Put a model into memory at once."""
+        """Load a model immediately."""
         self.held[model] = Held(model, version, list(adapters))
 
     def take(self, order: Order, now_ms: float) -> int | None:
-        """Take an order.
+        """Accept or refuse an order.
 
         Returns:
-            None if it was taken, else the fencing number that it is
-            older than.
+            None if the order was accepted, otherwise the highest fencing
+            number received so far.
         """
         fencing = order.fencing
         if self.check_fencing and fencing is not None:
@@ -74,7 +74,7 @@
         return None
 
     def state(self, now_ms: float) -> dict:
-        """Return what is held and what is loading."""
+        """Return the loaded models and pending orders."""
         self._apply_due(now_ms)
         return {
             'models': list(self.held.values()),
--- a/standins/engine_telemetry.py
+++ b/standins/engine_telemetry.py
@@ -1,4 +1,4 @@
-"""Load and cache events of an engine's stand-in, late and with gaps."""
+"""Load and cache events of an engine's stand-in, with lag and gaps."""
 
 import collections
 import dataclasses
@@ -13,7 +13,7 @@
 
 
 class Telemetry:
-    """Remembers what the engine was like, to report it late.
+    """Records the engine's load and cache events for delayed reporting.
 
     Args:
         generator: Source of the gaps in the cache events.
@@ -33,7 +33,7 @@
         gap_probability: float,
         now_ms: float,
     ) -> None:
-        """Note the present load and the new cache events."""
+        """Record the current load and new cache events."""
         self.loads.append(
             {
                 'at_ms': now_ms,
@@ -59,14 +59,14 @@
             self.cache_log.append((now_ms, dataclasses.asdict(event)))
 
     def load(self, visible_ms: float) -> dict:
-        """Return the newest load that is old enough."""
+        """Return the newest load not later than a time."""
         for load in reversed(self.loads):
             if load['at_ms'] <= visible_ms:
                 return load
         return self.loads[0]
 
     def cache_events(self, after: int, visible_ms: float) -> list[dict]:
-        """Return the cache events after a number that are old enough."""
+        """Return cache events after a sequence number, up to a time."""
         return [
             event
             for at_ms, event in self.cache_log
--- a/standins/engine_wire.py
+++ b/standins/engine_wire.py
@@ -1,4 +1,4 @@
-"""What an engine's stand-in reads from requests and writes to streams."""
+"""Request parsing and stream encoding of an engine's stand-in."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 
 
 def prompt_of(body: dict) -> str:
-    """Return the prompt of a request, or its messages as one text."""
+    """Return the prompt of a request, or its messages joined by newlines."""
     if 'prompt' in body:
         return str(body['prompt'])
     messages = body.get('messages', [])
--- a/standins/entry_checks.py
+++ b/standins/entry_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the platform's promises on what callers and servers saw.
+"""Checks of the entry VMs' guarantees on recorded calls and executions.
 
 Each checker is a pure function from a record to its violations.
 """
@@ -11,20 +11,20 @@
 NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
 STREAM_EVENTS = 40
 TRANSIT_TOLERANCE_S = 0.3
-"""Time that a send may be on its way; s."""
+"""Allowance for the delay between sending and receiving a request, in s."""
 
 
 @dataclasses.dataclass
 class Call:
-    """One request of a caller and its end.
+    """One request of a caller and its answer.
 
     Attributes:
         kind: ``book``, ``look`` or ``write``.
-        status: Of the answer; 0 if there was none.
-        is_whole: Whether the answer came to its end.
-        body: The answer's body, framing undone.
-        vm: The entry VM that was asked.
-        sent_s: When it was sent, in s of the steady clock.
+        status: Status of the answer; 0 if there was none.
+        is_whole: Whether the answer was complete.
+        body: Body of the answer without its framing.
+        vm: Entry VM that received the request.
+        sent_s: Time of sending on the monotonic clock, in s.
     """
 
     request: str
@@ -39,14 +39,14 @@
 
 @dataclasses.dataclass
 class Record:
-    """What was seen in a round.
+    """Observations of a round.
 
     Attributes:
-        runs: Server and time of each run of a request.
-        revoked_s: When each key was taken away.
-        bound_s: How long a VM may still take such a key.
-        ended: Processes that ended by themselves.
-        unserved: VMs that did not serve again after all faults.
+        runs: Server and time of each execution of a request.
+        revoked_s: Time at which each key was revoked.
+        bound_s: How long a VM may still accept a revoked key.
+        ended: Processes that exited unexpectedly.
+        unserved: VMs that did not recover after the faults.
     """
 
     calls: list[Call] = dataclasses.field(default_factory=list)
@@ -72,7 +72,7 @@
 
 
 def runs_once(record: Record) -> Violations:
-    """Find bookings and streams that were run more than once."""
+    """Find bookings and streams that were executed more than once."""
     for call in record.calls:
         count = len(record.runs.get(call.request, ()))
         if call.kind != 'look' and count > 1:
@@ -80,7 +80,7 @@
 
 
 def not_run_is_true(record: Record) -> Violations:
-    """Find requests that were refused as not run, and ran."""
+    """Find requests that were refused as not executed but were executed."""
     for call in record.calls:
         if (
             call.status in NOT_EXECUTED_STATUSES
@@ -90,7 +90,7 @@
 
 
 def answers_are_own(record: Record) -> Violations:
-    """Find answers that are not the whole answer to their request."""
+    """Find complete answers that belong to another request."""
     for call in record.calls:
         if call.status != 200 or call.kind == 'write':
             continue
@@ -100,7 +100,7 @@
 
 
 def streams_are_in_order(record: Record) -> Violations:
-    """Find streams with wrong events, or cut ones that look complete."""
+    """Find streams with wrong events, and truncated ones sent as complete."""
     for call in record.calls:
         if call.kind != 'write' or call.status != 200:
             continue
@@ -115,7 +115,7 @@
 
 
 def revoked_keys_open_nothing(record: Record) -> Violations:
-    """Find requests that ran with a key that was long taken away."""
+    """Find requests executed with a key that was revoked too long before."""
     for call in record.calls:
         revoked_s = record.revoked_s.get(call.key)
         if revoked_s is None or call.request not in record.runs:
@@ -126,12 +126,12 @@
 
 
 def nobody_ends_by_itself(record: Record) -> Violations:
-    """Find processes that ended without being told to."""
+    """Find processes that exited without being told to."""
     yield from record.ended
 
 
 def all_recover(record: Record) -> Violations:
-    """Find VMs that did not serve again."""
+    """Find VMs that did not recover."""
     yield from record.unserved
 
 
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -1,4 +1,4 @@
-"""TCP proxy that injects faults, as a process with a control endpoint."""
+"""Fault-injecting TCP proxy with an HTTP control endpoint."""
 
 import threading
 
@@ -16,8 +16,8 @@
     """Control endpoint of a proxy loop.
 
     ``POST /links`` opens listeners, ``POST /faults`` changes the faults of
-    the links whose names begin with a prefix, ``POST /groups`` limits the
-    rate that links share, and ``GET /links`` counts bytes.
+    the links whose names contain a given text, ``POST /groups`` limits the
+    rate shared by a group of links, and ``GET /links`` returns byte counts.
     """
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
         self.application.add('POST', '/groups', self.set_groups)
 
     def open_links(self, request: wrappers.Request) -> wrappers.Response:
-        """Open listeners; the answer names the address of each."""
+        """Open listeners and return their addresses."""
         wanted = msgspec.json.decode(
             request.get_data(), type=list[proxy_loop.LinkRequest]
         )
@@ -37,11 +37,11 @@
         return serving.json_answer(opened)
 
     def get_links(self, request: wrappers.Request) -> wrappers.Response:
-        """Return the bytes and connections that each link carried."""
+        """Return the byte and connection counts of each link."""
         return serving.json_answer(self.loop.call(self.loop.summary))
 
     def set_faults(self, request: wrappers.Request) -> wrappers.Response:
-        """Change the faults of links; fields left out stay."""
+        """Change the faults of links; omitted fields are unchanged."""
         order = msgspec.json.decode(
             request.get_data(), type=proxy_loop.FaultRequest
         )
@@ -49,14 +49,14 @@
         return serving.json_answer({'links': touched})
 
     def set_groups(self, request: wrappers.Request) -> wrappers.Response:
-        """Set the shared rate of each named group, in bits a second."""
+        """Set the shared rates of groups, in bits per second."""
         rates = msgspec.json.decode(request.get_data(), type=dict[str, float])
         self.loop.call(lambda: self.loop.set_rates(rates))
         return serving.json_answer({})
 
 
 def main(listen: str = '127.0.0.1:0') -> None:
-    """Serve the proxy's control endpoint and its links until SIGTERM."""
+    """Run the proxy and its control endpoint until SIGTERM."""
     proxy = FaultProxy()
     threading.Thread(target=proxy.loop.run, daemon=True).start()
     serving.serve(proxy.application, listen)
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a round draws from; each returns how it is healed."""
+"""Faults that a round can inject; each returns a function that heals it."""
 
 import collections.abc
 import random
@@ -25,12 +25,12 @@
 
 
 class FaultContext:
-    """What a fault works on.
+    """Context in which a fault is injected.
 
     Args:
-        cluster: The processes.
-        log: Where what happened is recorded.
-        generator: Source of the fault's choices.
+        cluster: Processes to affect.
+        log: Recorder of events.
+        generator: Source of random choices.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self.generator = generator
 
     def daemon(self) -> str:
-        """Return a daemon that is alive and not leaving."""
+        """Return a random daemon that is running and not draining."""
         alive = [
             vm
             for vm, child in self.cluster.daemons.items()
@@ -53,7 +53,7 @@
         return self.generator.choice(alive)
 
     def upstream(self, kind: states.VmKind) -> topologies.Upstream:
-        """Return an upstream of a kind that is alive and not leaving."""
+        """Return a random live upstream of a kind."""
         live = [
             upstream
             for upstream in self.cluster.upstreams.values()
@@ -73,8 +73,8 @@
     """Register a fault.
 
     Args:
-        name: Its name in traces.
-        harmless: Whether no connection of a caller is cut by it.
+        name: Name of the fault in traces.
+        preserves_connections: Whether callers' connections stay open.
     """
 
     def register(fault: Fault) -> Fault:
@@ -234,7 +234,7 @@
     others = [other for other in zones if other != zone]
     links = [f'{zone}>{other}>' for other in others]
     links += [f'{other}>{zone}>' for other in others]
-    # The store is outside of a zone that is cut off.
+    # A partitioned zone loses its connection to the store as well.
     links.append(f'{zone}>{zones[0]}>{topologies.PLATFORM}')
     links = [link for link in links if not link.startswith('callers')]
     context.log.record_event(f'cut off {zone}')
--- a/standins/history.py
+++ b/standins/history.py
@@ -1,4 +1,4 @@
-"""What callers and upstreams saw, as the checkers read it."""
+"""Records of a round by callers and upstreams, for the checkers."""
 
 import msgspec
 
@@ -16,11 +16,11 @@
 
 
 class ReceivedToken(msgspec.Struct):
-    """One token that reached a caller.
+    """One token that a caller received.
 
     Attributes:
-        at_ms: When, on the machine's monotonic clock.
-        resumed: How many times the caller had resumed before.
+        at_ms: Time of receipt on the machine's monotonic clock.
+        resumed: Number of times the caller had resumed before.
     """
 
     text: str
@@ -29,7 +29,7 @@
 
 
 class ConnectionLoss(msgspec.Struct):
-    """A connection that ended before its answer did."""
+    """A connection that ended before the answer was complete."""
 
     vm: str
     at_ms: float
@@ -37,13 +37,13 @@
 
 
 class StreamRecord(msgspec.Struct):
-    """One streamed request as its caller saw it.
+    """One streamed request as recorded by its caller.
 
     Attributes:
-        wanted_tokens: Length of the whole answer.
-        outcome: ``done``, an outcome that an error named, or ``cut``.
+        wanted_tokens: Length of the complete answer.
+        outcome: ``done``, an outcome given by an error, or ``cut``.
         vms: Entry VMs that the caller used, in order.
-        note: Why it ended otherwise than ``done``.
+        note: Reason of an outcome other than ``done``.
     """
 
     request_id: str
@@ -58,12 +58,12 @@
 
 
 class CallRecord(msgspec.Struct):
-    """One attempt of a plain call as its caller saw it.
+    """One attempt of a plain call as recorded by its caller.
 
     Attributes:
         key: Idempotency key, or None.
-        outcome: ``done``, an outcome that an error named, ``unreached``
-            (no byte left the caller) or ``cut``.
+        outcome: ``done``, an outcome given by an error, ``unreached``
+            (nothing was sent) or ``cut``.
         answered_id: X-Request-Id of the answer.
     """
 
@@ -81,7 +81,7 @@
 
 
 class EngineGeneration(msgspec.Struct):
-    """One generation as its engine recorded it."""
+    """One generation as recorded by its engine."""
 
     engine: str
     generation: str
@@ -92,7 +92,7 @@
 
 
 class Execution(msgspec.Struct):
-    """One plain call as its service recorded it."""
+    """One plain call as recorded by its service."""
 
     service: str
     request_id: str
@@ -102,7 +102,7 @@
 
 
 class UpstreamDeparture(msgspec.Struct):
-    """An upstream that said from some time on that it was leaving."""
+    """Time range in which an upstream was announced as leaving."""
 
     upstream: str
     since_ms: float
@@ -110,7 +110,7 @@
 
 
 class ConfigObservation(msgspec.Struct):
-    """The version that one process of a VM had in force at a time."""
+    """Version that one incarnation of a VM used at a time."""
 
     vm: str
     incarnation: str
@@ -123,9 +123,9 @@
 
     Attributes:
         accepted: Time at which each config version was accepted.
-        drained: Exit codes of the VMs that were told to drain.
-        cut_by_drain: Requests whose connection a draining VM cut.
-        connections_kept: Whether no fault touched a caller's connection.
+        drained: Exit codes of drained VMs.
+        cut_by_drain: Requests whose connection a draining VM closed.
+        connections_kept: Whether no fault affected callers' connections.
     """
 
     streams: list[StreamRecord] = []
--- a/standins/plain.py
+++ b/standins/plain.py
@@ -19,16 +19,16 @@
 
 
 class Control(msgspec.Struct):
-    """What the service is told to do wrong.
+    """Simulated faults of the service.
 
     Attributes:
-        latency_ms: Ordinary time to execute a call.
-        state: ``live`` or ``leaving``; leaving answers 503 to all calls.
-        late: How often an answer is delayed by ``late_ms``.
-        crossed: How often another request's answer is sent.
-        silent: How often the call is executed and never answered.
-        closed: How often the connection is closed after executing.
-        failed: How often the answer is 500 after executing.
+        latency_ms: Normal time to execute a call.
+        state: ``live`` or ``leaving``; if leaving, all calls get 503.
+        late: When to delay an answer by ``late_ms``.
+        crossed: When to send the answer to another request.
+        silent: When to execute the call without answering.
+        closed: When to close the connection after executing the call.
+        failed: When to answer 500 after executing the call.
     """
 
     latency_ms: float = 0.0
@@ -55,7 +55,7 @@
     """One call that the service executed.
 
     Attributes:
-        at_ms: When it began, on the machine's monotonic clock.
+        at_ms: Start time on the machine's monotonic clock.
     """
 
     at_ms: float
@@ -67,10 +67,10 @@
 
 
 class PlainService:
-    """Executes every call, counts it and echoes it.
+    """Executes, counts and echoes every call.
 
     Args:
-        seed: Seed of the faults that strike by chance.
+        seed: Seed of random faults.
     """
 
     def __init__(self, seed: int) -> None:
@@ -97,7 +97,7 @@
     def call(
         self, request: wrappers.Request, path: str = ''
     ) -> wrappers.Response:
-        """Execute one call and answer it, or do what was ordered."""
+        """Execute a call and answer it, subject to the current faults."""
         if self.control.state == 'leaving':
             return serving.json_answer({'error': 'leaving'}, 503)
         execution = self._record(request, path)
@@ -150,7 +150,7 @@
         return _reply(own, status)
 
     def get_load(self, request: wrappers.Request) -> wrappers.Response:
-        """Return the load as WIRE.md has it."""
+        """Return the load in the format of WIRE.md."""
         return serving.json_answer(
             {
                 'at_ms': self.clock.now_ms(),
@@ -160,17 +160,17 @@
         )
 
     def get_control(self, request: wrappers.Request) -> wrappers.Response:
-        """Return the faults that are set."""
+        """Return the current faults."""
         return serving.json_answer(self.control)
 
     def set_control(self, request: wrappers.Request) -> wrappers.Response:
-        """Replace the faults that the body names."""
+        """Change the faults given in the body."""
         changes = serving.read_json(request)
         self.control = serving.merge_changes(self.control, changes)
         return serving.json_answer(self.control)
 
     def get_history(self, request: wrappers.Request) -> wrappers.Response:
-        """Return every execution and the counts for each key."""
+        """Return all executions and the counts per key."""
         with self.lock:
             return serving.json_answer(
                 {'executions': self.executions, 'counts': self.counts}
@@ -188,7 +188,7 @@
 
 
 def main(listen: str = '127.0.0.1:0', seed: int = 0) -> None:
-    """Serve a plain service's stand-in until SIGTERM."""
+    """Run a plain service's stand-in until SIGTERM."""
     serving.serve(PlainService(seed).application, listen)
 
 
--- a/standins/plain_caller.py
+++ b/standins/plain_caller.py
@@ -1,4 +1,4 @@
-"""Caller of one plain call, with the repeats that its kind allows."""
+"""Caller of one plain call, with the retries that its kind allows."""
 
 import concurrent.futures
 import enum
@@ -35,15 +35,15 @@
 class PlainCaller:
     """Makes one call.
 
-    A lookup and a keyed booking are repeated until they are answered; an
-    unkeyed booking is sent once. A hasty caller gives up early and asks
-    another VM while the first may still be at it; a raced booking is sent
-    to two VMs at once.
+    Lookups and keyed bookings are retried until they are answered;
+    bookings without a key are sent once. A hasty caller times out early
+    and retries on another VM while the first may still be executing; a
+    raced booking is sent to two VMs concurrently.
 
     Args:
-        callers: Where it may connect, and the time.
+        callers: Entry points, workload and clock.
         name: Name of the call.
-        generator: Source of its choices.
+        generator: Source of random choices.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         )
         self.callers.calls.append(record)
         is_hasty = self.kind is Kind.HASTY and attempt == '0'
-        patience_s = self.callers.workload.resume_timeout_s
+        patience_s = self.callers.workload.progress_timeout_s
         self._send(
             record, bearer, IMPATIENT_TIMEOUT_S if is_hasty else patience_s
         )
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform: table, objects and the list of VMs."""
+"""Stand-in of the platform: table, object store and list of VMs."""
 
 import collections.abc
 import random
@@ -23,16 +23,16 @@
 
 
 class Control(msgspec.Struct):
-    """What the platform is told to suffer from.
+    """Simulated faults of the platform.
 
     Attributes:
         latency_ms: Delay before each request is handled.
         outage: ``none``, ``refuse`` (503) or ``black_hole``.
-        lose_answers: How often the connection of a transaction is
-            dropped after the commit.
-        refuse_writes: How often a transaction is answered 503 with
-            nothing written.
-        vm_list_lag_ms: How far the list of VMs lags.
+        lose_answers: When to drop the connection of a transaction after
+            its commit.
+        refuse_writes: When to answer a transaction with 503 without
+            committing it.
+        vm_list_lag_ms: Lag of the list of VMs.
     """
 
     latency_ms: float = 0.0
@@ -47,10 +47,11 @@
 
 
 class VmLists(msgspec.Struct):
-    """The list of VMs, and what differs for those who see a view.
+    """The list of VMs, and alternative lists by view.
 
-    A daemon whose platform URL ends in ``/views/NAME`` gets that view's
-    list, so that a harness can put a proxy before each upstream.
+    A daemon whose platform URL ends in ``/views/NAME`` receives the list
+    of that view, so that a test can place a proxy in front of each
+    upstream.
     """
 
     vms: list[dict]
@@ -58,10 +59,10 @@
 
 
 class Platform:
-    """Table, objects and VM list behind one HTTP application.
+    """Table, object store and VM list as one HTTP application.
 
     Args:
-        seed: Seed of the faults that strike by chance.
+        seed: Seed of random faults.
     """
 
     def __init__(self, seed: int) -> None:
@@ -119,7 +120,7 @@
         return serving.drop_connection(request)
 
     def commit(self, request: wrappers.Request) -> wrappers.Response:
-        """Run a transaction, all or nothing."""
+        """Execute a transaction atomically."""
         transaction = msgspec.json.decode(
             request.get_data(), type=table.Transaction
         )
@@ -161,7 +162,7 @@
     def put_object(
         self, request: wrappers.Request, key: str
     ) -> wrappers.Response:
-        """Store an object, unless it exists and must not."""
+        """Store an object; with ``If-None-Match: *`` only if it is new."""
         body = request.get_data()
         only_new = request.headers.get('If-None-Match') == '*'
         with self.lock:
@@ -182,7 +183,7 @@
     def delete_object(
         self, request: wrappers.Request, key: str
     ) -> wrappers.Response:
-        """Delete an object; absent is as good."""
+        """Delete an object; idempotent."""
         with self.lock:
             self.objects.pop(key, None)
         return wrappers.Response(status=204)
@@ -195,7 +196,7 @@
         return serving.json_answer({'keys': keys})
 
     def get_vms(self, request: wrappers.Request) -> wrappers.Response:
-        """Return the list of VMs as it was some time ago."""
+        """Return the list of VMs with the configured lag."""
         visible_ms = self.clock.now_ms() - self.control.vm_list_lag_ms
         view = request.root_path.removeprefix(VIEWS)
         with self.lock:
@@ -207,7 +208,7 @@
         return serving.json_answer({'vms': vms})
 
     def set_vms(self, request: wrappers.Request) -> wrappers.Response:
-        """Replace the list of VMs; the body is like that of GET /vms."""
+        """Replace the list of VMs; the body is as returned by GET /vms."""
         lists = msgspec.json.decode(request.get_data(), type=VmLists)
         with self.lock:
             self.vm_lists.append((self.clock.now_ms(), lists))
@@ -216,7 +217,7 @@
     def wsgi(
         self, environ: dict, start_response: typing.Callable
     ) -> collections.abc.Iterable[bytes]:
-        """Answer one request, with or without a view in its path."""
+        """Handle a request whose path may begin with a view."""
         path = environ['PATH_INFO']
         if path.startswith(VIEWS):
             view, _, rest = path.removeprefix(VIEWS).partition('/')
@@ -225,22 +226,22 @@
         return self.application(environ, start_response)
 
     def get_control(self, request: wrappers.Request) -> wrappers.Response:
-        """Return the faults that are set."""
+        """Return the current faults."""
         return serving.json_answer(self.control)
 
     def set_control(self, request: wrappers.Request) -> wrappers.Response:
-        """Replace the faults that the body names."""
+        """Change the faults given in the body."""
         changes = serving.read_json(request)
         self.control = serving.merge_changes(self.control, changes)
         return serving.json_answer(self.control)
 
     def get_counters(self, request: wrappers.Request) -> wrappers.Response:
-        """Return how many reads and writes were served."""
+        """Return the numbers of reads and writes served."""
         return serving.json_answer(self.counters.summary(self.clock.now_ms()))
 
 
 def main(listen: str = '127.0.0.1:0', seed: int = 0) -> None:
-    """Serve the platform's stand-in until SIGTERM."""
+    """Run the platform's stand-in until SIGTERM."""
     serving.serve(Platform(seed).wsgi, listen)
 
 
--- a/standins/prefix_cache.py
+++ b/standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""Cache of prompt prefixes in the memory that generations leave free."""
+"""Cache of prompt prefixes in KV memory not used by generations."""
 
 import collections
 import dataclasses
@@ -32,7 +32,7 @@
 
 
 class PrefixCache:
-    """Blocks by the hash of their prefix; the least recently used go first.
+    """LRU cache of blocks, keyed by the hash of their prefix.
 
     Example:
         >>> cache = PrefixCache()
@@ -48,11 +48,11 @@
 
     @property
     def tokens(self) -> int:
-        """Memory that the blocks hold, in tokens."""
+        """Memory used by the blocks, in tokens."""
         return len(self.blocks) * BLOCK_TOKENS
 
     def lookup(self, chain: tuple[str, ...]) -> int:
-        """Return how many tokens of a prompt need no prefill."""
+        """Return the number of prompt tokens that need no prefill."""
         covered = 0
         for prefix in chain:
             if prefix not in self.blocks:
@@ -62,14 +62,14 @@
         return covered
 
     def store(self, chain: tuple[str, ...]) -> None:
-        """Keep all blocks of a prompt."""
+        """Store all blocks of a prompt."""
         for prefix in chain:
             if prefix not in self.blocks:
                 self.blocks[prefix] = None
                 self._log_event('stored', prefix)
 
     def shrink(self, tokens: int) -> None:
-        """Evict blocks until the cache fits a number of tokens."""
+        """Evict blocks until the cache fits into a number of tokens."""
         while self.tokens > tokens:
             prefix, _ = self.blocks.popitem(last=False)
             self._log_event('evicted', prefix)
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Child processes of a test harness and short HTTP questions to them."""
+"""Child processes of a test harness, and HTTP requests to them."""
 
 import http.client
 import pathlib
@@ -20,11 +20,11 @@
 
 
 class Child:
-    """A process that a harness started and will end.
+    """A child process of the test harness.
 
     Attributes:
         address: ``IP:port`` on which it listens.
-        log: File of its output.
+        log: Log file with its output.
     """
 
     def __init__(
@@ -44,16 +44,16 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process has not ended yet."""
+        """Whether the process has not exited."""
         return self.process.poll() is None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process if it has not ended."""
+        """Send a signal to the process if it is running."""
         if self.is_running:
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """End the process by force, also when it is stopped."""
+        """Kill the process, even if it is stopped, and wait for its exit."""
         self.signal(signal.SIGKILL)
         self.process.wait(END_TIMEOUT_S)
 
@@ -61,23 +61,23 @@
 def start_standin(
     name: str, arguments: list[str], directory: pathlib.Path
 ) -> Child:
-    """Start a stand-in that prints the address on which it listens."""
+    """Start a stand-in that prints its listening address."""
     log = directory / f'{name}.log'
-    # An earlier run's address must not be taken for this one's.
+    # A log of an earlier run would contain an outdated address.
     log.unlink(missing_ok=True)
     return Child(name, arguments, log)
 
 
 def wait_listening(child: Child) -> str:
-    """Return the address of a stand-in once it has printed it.
+    """Wait for a stand-in to print its address, and return it.
 
     Raises:
-        RuntimeError: If it ended or did not listen in time.
+        RuntimeError: If it exited or did not listen in time.
     """
 
     def printed() -> str:
         if not child.is_running:
-            raise RuntimeError(f'{child.name} ended; see {child.log}')
+            raise RuntimeError(f'{child.name} exited; see {child.log}')
         for line in child.log.read_text(encoding='utf-8').splitlines():
             if line.startswith('listening '):
                 return line.split()[1]
@@ -90,7 +90,7 @@
 def wait_until(
     condition, what: str, timeout_s: float = START_TIMEOUT_S
 ) -> object:
-    """Return the condition's value as soon as it is true.
+    """Wait for a condition to become true and return its value.
 
     Raises:
         RuntimeError: If it does not become true in time.
@@ -101,7 +101,7 @@
         if value:
             return value
         time.sleep(POLL_S)
-    raise RuntimeError(f'not in {timeout_s:g} s: {what}')
+    raise RuntimeError(f'timeout after {timeout_s:g} s: {what}')
 
 
 def ask(
@@ -111,10 +111,10 @@
     value: object = None,
     timeout_s: float = ASK_TIMEOUT_S,
 ) -> tuple[int, bytes]:
-    """Send one request with a JSON body.
+    """Send a request with a JSON body.
 
     Returns:
-        The status and the body; status 0 if there was no answer.
+        Status and body of the answer; status 0 if there was none.
     """
     body = None if value is None else msgspec.json.encode(value)
     connection = http.client.HTTPConnection(address, timeout=timeout_s)
@@ -131,7 +131,7 @@
 def ask_json(
     address: str, method: str, path: str, value: object = None
 ) -> dict:
-    """Send one request and return the JSON answer; empty if refused."""
+    """Send a request and return the JSON answer, or {} on failure."""
     status, body = ask(address, method, path, value)
     if status == 0 or status >= http.client.BAD_REQUEST:
         logs.warning(
--- a/standins/proxy_flow.py
+++ b/standins/proxy_flow.py
@@ -1,4 +1,4 @@
-"""Connections of the fault-injecting proxy and the rate they share."""
+"""Connections of the fault-injecting proxy and their rate limiter."""
 
 import collections
 import collections.abc
@@ -11,10 +11,10 @@
 
 
 class RateLimiter:
-    """Rate that several connections share, for each direction apart.
+    """Rate limit shared by several connections, separate per direction.
 
     Args:
-        bits_per_second: The rate; 0 for no limit.
+        bits_per_second: Maximum rate; 0 for no limit.
 
     Example:
         >>> RateLimiter(8_000.0).departure_s(True, 10.0, 1_000)
@@ -28,7 +28,7 @@
     def departure_s(
         self, towards_server: bool, now_s: float, size: int
     ) -> float:
-        """Return when the last of some bytes has left."""
+        """Return the time at which the last of a number of bytes is sent."""
         if not self.bits_per_second:
             return now_s
         begin_s = max(now_s, self.free_s[towards_server])
@@ -41,8 +41,8 @@
     """One direction of a connection.
 
     Attributes:
-        ready: Data to write now; an empty item is the end of the data.
-        queued_bytes: Data that was read and is not yet written.
+        ready: Data to write now; an empty item marks the end of data.
+        queued_bytes: Number of bytes read but not yet written.
     """
 
     def __init__(
@@ -66,11 +66,11 @@
     def callback(
         self, function: collections.abc.Callable
     ) -> collections.abc.Callable:
-        """Return what the selector calls for this flow's source."""
+        """Return a selector callback for the source of this flow."""
         return functools.partial(function, self)
 
     def write(self) -> None:
-        """Write as much as the sink takes."""
+        """Write as much as the sink accepts."""
         while self.ready:
             data = self.ready[0]
             if not data:
@@ -93,11 +93,11 @@
 
 
 class ProxiedConnection:
-    """A caller's connection and the one to the target.
+    """A client connection and the corresponding connection to the target.
 
     Attributes:
-        lost: Directions whose bytes are lost from now on; True is the
-            one towards the server.
+        dropped_directions: Directions in which bytes are discarded; True
+            is the direction towards the server.
     """
 
     def __init__(
@@ -113,7 +113,7 @@
         )
 
     def opposite(self, flow: Flow) -> Flow:
-        """Return the flow of the other direction."""
+        """Return the flow in the opposite direction."""
         return self.flows[1] if flow is self.flows[0] else self.flows[0]
 
     def is_over(self) -> bool:
@@ -121,7 +121,7 @@
         return all(flow.finished for flow in self.flows)
 
     def half_close_client(self) -> None:
-        """End the direction towards the caller alone."""
+        """Close only the direction towards the client."""
         try:
             self.client.shutdown(socket.SHUT_WR)
         except OSError:
--- a/standins/proxy_loop.py
+++ b/standins/proxy_loop.py
@@ -1,4 +1,4 @@
-"""Event loop of the fault-injecting proxy: one thread, many sockets."""
+"""Single-threaded event loop of the fault-injecting proxy."""
 
 import collections.abc
 import concurrent.futures
@@ -22,7 +22,7 @@
 MAX_QUEUED_BYTES = 262_144
 RESET_LINGER = struct.pack('ii', 1, 0)
 HOST = '127.0.0.1'
-# Directions in which bytes are lost; True is the one towards the server.
+# Directions in which bytes are discarded; True is towards the server.
 _DROPPED_DIRECTIONS = {
     'none': frozenset(),
     'old': frozenset((True, False)),
@@ -36,7 +36,7 @@
     """A listener to open.
 
     Attributes:
-        group: Links of one group share a rate; empty for no limit.
+        group: Group whose links share a rate limit; empty for no limit.
     """
 
     name: str
@@ -46,17 +46,17 @@
 
 
 class FaultRequest(msgspec.Struct):
-    """Faults to set on the links whose names contain a text.
+    """Faults to set on links selected by their names.
 
     Attributes:
-        links: Parts of names; a link is meant if it contains one.
+        links: Substrings; a link is selected if its name contains one.
         refuse: Whether new connections are refused.
-        black_hole: ``none``, ``old`` (connections open now fall silent
-            for good), ``all`` (new ones too), or ``requests`` or
-            ``answers`` (all, in that direction only).
+        black_hole: ``none``, ``old`` (discard all bytes of connections
+            that are open now), ``all`` (also of new ones), or ``requests``
+            or ``answers`` (of all connections, in that direction only).
         reset: Whether to reset the open connections now.
-        half_close: Whether to end the direction towards callers now,
-            while the other one stays open.
+        half_close: Whether to close the direction towards callers now,
+            leaving the other one open.
         delay_ms: New one-way delay.
     """
 
@@ -69,7 +69,7 @@
 
 
 class Link:
-    """One listener with its target and its faults."""
+    """A listener with its target and its faults."""
 
     def __init__(self, order: LinkRequest) -> None:
         host, _, port = order.target.rpartition(':')
@@ -86,9 +86,9 @@
 
 
 class ProxyLoop:
-    """Accepts, forwards, delays, throttles and loses bytes.
+    """Forwards bytes with delays, rate limits and faults.
 
-    All methods but ``call`` belong to the thread that runs ``run``.
+    All methods except ``call`` must be called in the thread of ``run``.
     """
 
     def __init__(self) -> None:
@@ -106,8 +106,8 @@
         return future.result()
 
     def run(self) -> None:
-        """Run for as long as the process lives."""
-        # A selector without any socket cannot wait everywhere.
+        """Run until the process exits."""
+        # On some systems a selector without sockets cannot wait.
         spare, other = socket.socketpair()
         self.selector.register(spare, selectors.EVENT_READ, None)
         while True:
@@ -133,7 +133,7 @@
                 future.set_exception(error)
 
     def open_links(self, orders: list[LinkRequest]) -> dict[str, str]:
-        """Open listeners and return their addresses by name."""
+        """Open listeners and return their addresses by link name."""
         for order in orders:
             link = Link(order)
             self.links[link.name] = link
@@ -141,12 +141,12 @@
         return {o.name: f'{HOST}:{self.links[o.name].port}' for o in orders}
 
     def set_rates(self, rates: dict[str, float]) -> None:
-        """Limit groups to a rate in bits a second; 0 lifts the limit."""
+        """Set rate limits of groups in bits per second; 0 for no limit."""
         for group, bits in rates.items():
             self.rates[group] = proxy_flow.RateLimiter(bits)
 
     def summary(self) -> dict[str, dict[str, int]]:
-        """Return what each link carried."""
+        """Return the byte and connection counts of each link."""
         return {
             link.name: {
                 'bytes': link.bytes,
@@ -157,7 +157,7 @@
         }
 
     def set_faults(self, order: FaultRequest) -> list[str]:
-        """Change the faults of links and return their names."""
+        """Change the faults of the selected links; return their names."""
         touched = [
             link
             for link in self.links.values()
@@ -220,7 +220,7 @@
             self._watch(flow)
 
     def _watch(self, flow: proxy_flow.Flow) -> None:
-        """Read from a flow's source, write what its opposite has ready."""
+        """Register for the events that a flow's source socket needs."""
         if flow.pair.closed:
             return
         opposite = flow.pair.opposite(flow)
@@ -273,7 +273,7 @@
         rate = self.rates.get(link.group)
         if rate is not None:
             sent_s = rate.departure_s(flow.towards_server, now_s, len(data))
-        # Bytes of one direction may not overtake each other.
+        # Bytes in one direction must not overtake each other.
         due_s = max(flow.last_due_s, sent_s + link.delay_ms / 1000)
         flow.last_due_s = due_s
         flow.queued_bytes += len(data)
--- a/standins/recorder.py
+++ b/standins/recorder.py
@@ -1,4 +1,4 @@
-"""Gathers what upstreams, daemons and faults did during a round."""
+"""Recorder of upstreams, daemons and faults during a round."""
 
 import collections
 import threading
@@ -18,17 +18,17 @@
 
 
 class Recorder:
-    """Fills the parts of a history that callers cannot see.
+    """Records the parts of a history that callers cannot observe.
 
     Args:
-        cluster: The processes to ask.
+        cluster: Cluster to observe.
 
     Attributes:
-        draining: VMs that were told to drain and have not been replaced.
-        events: What the round did, with times in milliseconds.
-        drains: Begin and end of each drain, by VM.
-        cut_off: Entry VMs of a zone that was cut off.
-        window: When the faults lasted.
+        draining: VMs that were told to drain and were not restarted.
+        events: Actions of the round with their times in milliseconds.
+        drains: Start and end time of each drain, by VM.
+        cut_off: Entry VMs in a partitioned zone.
+        window: Time range of the faults.
     """
 
     def __init__(self, cluster: clusters.Cluster) -> None:
@@ -45,11 +45,11 @@
         self.thread = threading.Thread(target=self._poll, daemon=True)
 
     def start(self) -> None:
-        """Begin to ask the daemons for their status."""
+        """Start polling the status of the daemons."""
         self.thread.start()
 
     def stop(self) -> None:
-        """Ask everyone for the last time and end."""
+        """Stop polling and collect the remaining histories."""
         self.stopped.set()
         self.thread.join()
         self.poll_configs()
@@ -58,31 +58,31 @@
                 self.collect_history(upstream)
 
     def record_event(self, what: str) -> None:
-        """Record something that the round did."""
+        """Record an action of the round."""
         self.events.append((self.clock.now_ms(), what))
 
     def record_leaving(self, vm: str) -> None:
-        """Record that an upstream gets no new work from now on."""
+        """Record that an upstream must receive no new work from now on."""
         self.history.leaving.append(
             histories.UpstreamDeparture(vm, self.clock.now_ms(), 1e15)
         )
 
     def record_drain_start(self, vm: str) -> None:
-        """Record that a daemon is told to drain."""
+        """Record that a daemon was told to drain."""
         self.draining.add(vm)
         self.drains[vm] = [self.clock.now_ms()]
 
     def record_drain_end(self, vm: str, code: int) -> None:
-        """Record the end of a daemon that was told to drain."""
+        """Record the exit code of a drained daemon."""
         self.drains[vm].append(self.clock.now_ms())
         self.history.drained[vm] = code
 
     def clear_drain(self, vm: str) -> None:
-        """Record that a daemon was started anew."""
+        """Record that a daemon was restarted."""
         self.draining.discard(vm)
 
     def record_accepted(self, version: int) -> None:
-        """Record that a version of the text was accepted."""
+        """Record that a version of the services text was accepted."""
         self.history.accepted[str(version)] = self.clock.now_ms()
 
     def collect_history(self, upstream: topologies.Upstream) -> None:
@@ -122,7 +122,7 @@
             )
 
     def poll_configs(self) -> None:
-        """Ask every daemon which version it has in force."""
+        """Record the version that each daemon uses."""
         for vm, child in list(self.cluster.daemons.items()):
             if not child.is_running or vm in self.draining:
                 continue
--- a/standins/rounds.py
+++ b/standins/rounds.py
@@ -1,4 +1,4 @@
-"""One seeded round: a cluster, callers, one or two faults, the checks."""
+"""A seeded round: a cluster under load, one or two faults, and checks."""
 
 import collections
 import dataclasses
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LoadProfile:
-    """How much load a round has, and how long its parts last."""
+    """Load of a round and the duration of its stages."""
 
     stream_callers: int = 14
     plain_callers: int = 8
@@ -59,16 +59,16 @@
 
 
 class Round:
-    """Draws a round from its seed and runs it.
+    """Derives a round from a seed and runs it.
 
     Args:
-        seed: Decides the deployment, the faults and the load.
-        directory: Where the trace is kept if something is violated.
-        names: Faults to use in place of drawn ones.
+        seed: Seed of the deployment, the faults and the load.
+        directory: Directory for the trace of a round with violations.
+        names: Faults to inject instead of random ones.
         daemon_module: Module that is run as the daemon.
-        deployment: Deployment to use in place of a drawn one.
-        pace: How much load and for how long.
-        is_small: Whether each zone has one VM of each kind.
+        deployment: Deployment to use instead of a random one.
+        profile: Load and durations.
+        is_small: Whether each zone has only one VM of each kind.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         drawn = self.generator.choice(sorted(PATHS))
         self.deployment = deployment or drawn
         count = self.generator.choice((1, 2))
-        # The same fault may strike twice.
+        # The same fault may be chosen twice.
         drawn_names = self.generator.choices(sorted(faults.FAULTS), k=count)
         self.names = tuple(names or drawn_names)
         shape = shapes.shape_of(self.deployment, daemon_module)
@@ -120,13 +120,13 @@
         seconds: float = 0.0,
         served: tuple[degradation.OutcomeSummary, ...] = (),
     ) -> verdicts.RoundResult:
-        """Return what came of this round.
+        """Return the result of this round.
 
         Args:
-            violations: What the checkers found.
-            history: What was recorded; None if the round broke off.
-            seconds: How long it took.
-            served: What was served while the faults lasted.
+            violations: Violations found by the checkers.
+            history: Recorded history; None if the round was aborted.
+            seconds: Duration of the round.
+            served: Outcomes of requests before and during the faults.
         """
         streams = history.streams if history else ()
         calls = history.calls if history else ()
@@ -214,7 +214,7 @@
         callers: load.Callers,
         seconds: float,
     ) -> None:
-        """Wait, and have the balancer follow who is ready."""
+        """Wait, updating the load balancer with the VMs that are ready."""
         until_s = time.monotonic() + seconds
         while time.monotonic() < until_s:
             ready = self._entry_points(cluster)
@@ -308,7 +308,7 @@
 
 
 def run_round(seed: int, directory: pathlib.Path) -> verdicts.RoundResult:
-    """Run the round of a seed."""
+    """Run the round with a seed."""
     return Round(seed, directory).run()
 
 
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""What the stand-in servers share: routing, JSON and one cheroot server."""
+"""Common parts of stand-in servers: routing, JSON and a cheroot server."""
 
 import collections.abc
 import os
@@ -36,18 +36,18 @@
 
 
 class FaultTrigger(msgspec.Struct):
-    """How often a fault strikes.
+    """Condition under which a fault affects a request.
 
     Attributes:
-        probability: Chance for each request, from 0 to 1.
-        following: How many of the next requests are struck for certain.
+        probability: Probability for each request, from 0 to 1.
+        following: Number of next requests that are always affected.
     """
 
     probability: float = 0.0
     following: int = 0
 
     def fires(self, generator: random.Random) -> bool:
-        """Return whether the next request is struck.
+        """Return whether the fault affects the next request.
 
         Args:
             generator: Source of random choices.
@@ -70,8 +70,8 @@
 
         Args:
             method: HTTP method, or ``ANY``.
-            rule: Path in the notation of werkzeug.
-            handler: Called with the request and the path's variables.
+            rule: Path in werkzeug's rule syntax.
+            handler: Function of the request and the path variables.
         """
         endpoint = f'{method} {rule}'
         methods = None if method == 'ANY' else [method]
@@ -83,7 +83,7 @@
     def __call__(
         self, environ: dict, start_response: typing.Callable
     ) -> collections.abc.Iterable[bytes]:
-        """Answer one request."""
+        """Handle a request."""
         request = wrappers.Request(environ)
         adapter = self.url_map.bind_to_environ(environ)
         try:
@@ -106,7 +106,7 @@
 
 
 def json_answer(value: object, status: int = 200) -> wrappers.Response:
-    """Return an answer that carries a JSON value."""
+    """Return an answer with a JSON body."""
     return wrappers.Response(
         msgspec.json.encode(value),
         status=status,
@@ -130,7 +130,7 @@
 
 
 def drop_connection(request: wrappers.Request) -> wrappers.Response:
-    """Close the connection of a request without an answer."""
+    """Close the connection of a request without answering."""
     connection = request.environ[CONNECTION_KEY]
     try:
         connection.socket.shutdown(socket.SHUT_RDWR)
@@ -143,8 +143,8 @@
     """Serve until SIGTERM; print the address once it is bound.
 
     Args:
-        application: WSGI application that answers the requests.
-        listen: ``IP:port``; port 0 lets the system choose.
+        application: WSGI application.
+        listen: ``IP:port``; port 0 selects a free port.
     """
     host, _, port = listen.rpartition(':')
     server = wsgi.Server(
@@ -166,16 +166,17 @@
     signal.signal(signal.SIGINT, lambda *_: stopped.set())
     threading.Thread(target=server.serve, daemon=True).start()
     while not stopped.wait(GROW_POLL_S):
-        # Open streams hold a thread each; many processes share a machine.
+        # Each open stream occupies a thread. Threads are added only when
+        # needed, since many processes share one machine.
         if server.requests.idle == 0:
             server.requests.grow(FIRST_THREADS)
     server.ready = False
-    # Threads that are held by a fault would keep the process alive.
+    # Threads blocked by a simulated fault would keep the process running.
     os._exit(0)
 
 
 def _log_fault(message: str = '', level: int = 20, traceback: bool = False):
-    """Show a fault of the stand-in itself, not a caller that went away."""
+    """Log errors of the stand-in, but not disconnected clients."""
     fault = sys.exception()
     if traceback and not isinstance(fault, OSError):
         tracebacks.print_exc()
--- a/standins/shapes.py
+++ b/standins/shapes.py
@@ -1,4 +1,4 @@
-"""What the clusters of tests, rounds and the demo consist of."""
+"""Composition of the clusters in tests, rounds and the demo."""
 
 import dataclasses
 
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ClusterShape:
-    """What a cluster consists of.
+    """Composition of a cluster.
 
     Attributes:
         entry_vms: Number of daemons by availability zone.
@@ -22,10 +22,10 @@
         zone_delay_ms: One-way delay between zones of a region.
         region_delay_ms: One-way delay between regions.
         link_bits_per_second: Rate of the link between regions.
-        kv_tokens: Memory of each engine.
-        step_ms: Time of an engine's decode step.
-        daemon_module: Module that is run as the daemon; tests name a
-            broken variant here.
+        kv_tokens: KV memory of each engine, in tokens.
+        step_ms: Duration of an engine's decode step.
+        daemon_module: Module that is run as the daemon; tests use it to
+            run a defective variant.
     """
 
     deployment: examples.Deployment
@@ -44,7 +44,7 @@
 
 
 def shape_of(name: str, daemon_module: str = DAEMON_MODULE) -> ClusterShape:
-    """Return the shape of a deployment at the brief's sizes.
+    """Return the shape of a deployment at its specified size.
 
     Args:
         name: Name of an example deployment.
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -1,4 +1,4 @@
-"""Seeded fault rounds with real processes for a given time."""
+"""Soak test: seeded fault rounds with real processes for a given time."""
 
 import collections
 import pathlib
@@ -23,11 +23,11 @@
 def soak(
     minutes: float, seed: int, daemon_module: str
 ) -> list[verdicts.RoundResult]:
-    """Run rounds until the time is over.
+    """Run rounds until a time limit.
 
     Args:
-        minutes: No round is begun after this time.
-        seed: Seed of the rounds' seeds.
+        minutes: Time after which no further round is started.
+        seed: Seed from which the seeds of the rounds are drawn.
         daemon_module: Module that is run as the daemon.
     """
     generator = random.Random(seed)
@@ -56,7 +56,8 @@
     try:
         return one.run()
     except RuntimeError as error:
-        # A process that does not come up is a finding, not the end.
+        # A process that fails to start is reported as a violation and
+        # does not stop the soak test.
         broken = checkers.Violation('round_runs', 'round', str(error))
         return one.verdict((broken,))
 
@@ -74,14 +75,14 @@
 
 def main(
     minutes: typing.Annotated[
-        float, typer.Option(help='How long to begin new rounds.')
+        float, typer.Option(help='How long to start new rounds.')
     ] = 5.0,
     seed: typing.Annotated[int, typer.Option(help='Seed of the run.')] = 1,
     replay: typing.Annotated[
-        int | None, typer.Option(help='Run the round of this seed alone.')
+        int | None, typer.Option(help='Run only the round with this seed.')
     ] = None,
     fault: typing.Annotated[
-        list[str] | None, typer.Option(help='Faults in place of drawn ones.')
+        list[str] | None, typer.Option(help='Faults instead of random ones.')
     ] = None,
     daemon_module: str = shapes.DAEMON_MODULE,
 ) -> None:
--- a/standins/stream_caller.py
+++ b/standins/stream_caller.py
@@ -1,4 +1,4 @@
-"""Caller of one stream, resumed as often as its connection is cut."""
+"""Caller of one stream, which it resumes after connection losses."""
 
 import http.client
 import random
@@ -27,14 +27,14 @@
 def new_record(
     request_id: str, wanted_tokens: int, now_ms: float
 ) -> histories.StreamRecord:
-    """Return the record of a stream that is about to begin."""
+    """Return an empty record of a stream."""
     return histories.StreamRecord(
         request_id, wanted_tokens, now_ms, tokens=[], vms=[], cuts=[]
     )
 
 
 def headers(bearer: str, request_id: str) -> dict[str, str]:
-    """Return the headers that every request of a caller has."""
+    """Return the headers of every request of a caller."""
     return {'Authorization': f'Bearer {bearer}', 'X-Request-Id': request_id}
 
 
@@ -42,12 +42,13 @@
     """One request for a generation.
 
     Args:
-        callers: Where it may connect, and the time.
-        record: Filled with what is received.
-        generator: Source of its choices.
+        callers: Entry points, workload and clock.
+        record: Record to fill.
+        generator: Source of random choices.
 
     Attributes:
-        leave_after: Tokens after which the caller goes away, or None.
+        abandon_after: Number of tokens after which the caller
+            disconnects, or None.
     """
 
     def __init__(
@@ -64,18 +65,18 @@
         self.abandon_after: int | None = None
 
     def run(self, bearer: str) -> None:
-        """Send the request and resume it for as long as it progresses."""
+        """Send the request and resume it as long as it makes progress."""
         common = headers(bearer, self.record.request_id)
         progress = -1
         until_s = 0.0
         while not self._exchange(common):
             if not self.cursor:
-                # Nothing was received: only a new request could help.
+                # Without a cursor the stream cannot be resumed.
                 return
             if len(self.record.tokens) > progress:
                 progress = len(self.record.tokens)
                 until_s = (
-                    time.monotonic() + self.callers.workload.resume_timeout_s
+                    time.monotonic() + self.callers.workload.progress_timeout_s
                 )
             if time.monotonic() > until_s:
                 return
@@ -83,7 +84,7 @@
             time.sleep(RESUME_PAUSE_S)
 
     def _exchange(self, common: dict[str, str]) -> bool:
-        """Send the request or resume it; return whether it is over."""
+        """Send or resume the request; return whether it has ended."""
         entry = self.callers.choose_entry_point(self.generator)
         self.record.vms.append(entry.vm)
         connection = http.client.HTTPConnection(
@@ -135,7 +136,7 @@
         )
 
     def run_unstreamed(self, bearer: str) -> None:
-        """Send the request without streaming; it is never repeated."""
+        """Send the request without streaming; it is not retried."""
         common = headers(bearer, self.record.request_id)
         entry = self.callers.choose_entry_point(self.generator)
         self.record.vms.append(entry.vm)
@@ -161,7 +162,8 @@
         self.record.note = body.decode(errors='replace')[:MAX_RECORDED_BYTES]
         if self.cursor and answer.status == http.client.SERVICE_UNAVAILABLE:
             return False
-        # Delivered tokens stand, so a refused resume is no refusal.
+        # Tokens were delivered, so a refused resumption leaves the
+        # request incomplete rather than refused.
         self.record.outcome = 'incomplete' if self.cursor else outcome
         return True
 
@@ -184,7 +186,7 @@
                 self._record_tokens(data)
                 if self._should_abandon():
                     return True
-        self._record_loss('the stream ended without an end')
+        self._record_loss('the stream ended without a final event')
         return False
 
     def _record_loss(self, reason: str) -> None:
--- a/standins/table.py
+++ b/standins/table.py
@@ -1,4 +1,4 @@
-"""Transactional table in memory, as the platform's stand-in keeps it."""
+"""In-memory transactional table of the platform's stand-in."""
 
 import msgspec
 
@@ -13,7 +13,7 @@
 
 
 class Condition(msgspec.Struct):
-    """Version that a row must have; None means that it is absent."""
+    """Version that a row must have; None means that it must be absent."""
 
     table: str
     key: str
@@ -21,7 +21,7 @@
 
 
 class Write(msgspec.Struct):
-    """Value that a row is given; None deletes it."""
+    """New value of a row; None deletes it."""
 
     table: str
     key: str
@@ -29,7 +29,7 @@
 
 
 class Transaction(msgspec.Struct):
-    """Conditions and writes that hold all or nothing."""
+    """Writes that are applied atomically if all conditions hold."""
 
     id: str
     conditions: list[Condition]
@@ -37,7 +37,7 @@
 
 
 class FailedCondition(msgspec.Struct):
-    """First row whose condition did not hold, with its version."""
+    """First row whose condition failed, with its actual version."""
 
     table: str
     key: str
@@ -52,9 +52,9 @@
 
 
 class Table:
-    """Rows by table and key; not safe for several threads at once.
+    """Rows by table and key; not thread-safe.
 
-    Versions never repeat, also after a row was deleted.
+    Versions of a key never repeat, not even after its row was deleted.
 
     Example:
         >>> rows = Table()
@@ -73,7 +73,7 @@
         """Check all conditions, then apply all writes.
 
         Returns:
-            The versions of the written rows, or the condition that failed.
+            Versions of the written rows, or the failed condition.
         """
         for condition in transaction.conditions:
             row = self.get(condition.table, condition.key)
@@ -102,13 +102,13 @@
     def scan(
         self, table: str, prefix: str, after: str, limit: int | None
     ) -> list[dict]:
-        """Return rows in order of their keys.
+        """Return rows ordered by key.
 
         Args:
-            table: Which table.
-            prefix: What the keys begin with.
-            after: Key after which to begin.
-            limit: Most rows to return, or None.
+            table: Name of the table.
+            prefix: Prefix of the keys.
+            after: Return only keys greater than this one.
+            limit: Maximum number of rows, or None.
         """
         keys = sorted(
             key
--- a/standins/topology.py
+++ b/standins/topology.py
@@ -1,4 +1,4 @@
-"""Links between the zones of a cluster and what each zone sees."""
+"""Links between the zones of a cluster, and the VM list of each zone."""
 
 import collections.abc
 import dataclasses
@@ -31,17 +31,17 @@
 
 
 class Topology:
-    """Names the links of a cluster and describes its VMs.
+    """Links of a cluster and VM lists for the platform.
 
-    A link is named ``FROM>TO>VM`` after the zone that connects, the zone
-    of the target and the target.
+    A link is named ``FROM>TO>VM`` after the connecting zone, the zone of
+    the target and the target.
 
     Args:
-        shape: What the cluster consists of.
+        shape: Composition of the cluster.
 
     Attributes:
         regions: Region of each availability zone.
-        addresses: Where the proxy listens for each link.
+        addresses: Listening address of the proxy for each link.
     """
 
     def __init__(self, shape: shapes.ClusterShape) -> None:
@@ -55,7 +55,7 @@
     def link_requests(
         self, platform: str, upstreams: Upstreams, settings: Settings
     ) -> list[dict]:
-        """Return the listeners that the proxy is to open.
+        """Return the links that the proxy has to open.
 
         Args:
             platform: Address of the platform.
@@ -103,7 +103,7 @@
         }
 
     def link(self, zone: str, vm: str) -> str:
-        """Return the address by which a zone reaches a VM.
+        """Return the address at which a zone reaches a VM.
 
         Raises:
             KeyError: If there is no such link.
@@ -115,7 +115,7 @@
         raise KeyError(f'{zone} has no link to {vm}')
 
     def vm_lists(self, upstreams: Upstreams, settings: Settings) -> dict:
-        """Return the lists of VMs for the platform, one for each zone."""
+        """Return the VM lists for the platform, one per zone."""
         views = {
             zone: self._view(zone, upstreams, settings)
             for zone in self.regions
--- a/standins/users_documents.py
+++ b/standins/users_documents.py
@@ -1,10 +1,10 @@
-"""Documents of the users' platform: a desired state, settings of a VM."""
+"""Documents of the users' platform: desired state and VM settings."""
 
 __all__ = ['desired_state', 'entry_settings']
 
 
 def desired_state(version: int) -> dict:
-    """Return a desired state with two plain routes and one for streams."""
+    """Return a desired state with two plain routes and a streaming one."""
 
     def route(name: str, kind: str, service: str, **more: object) -> dict:
         return {
@@ -63,7 +63,7 @@
     Args:
         vm: Name of the VM.
         zone: Its availability zone.
-        ports: Port of each of its listeners.
+        ports: Ports of its listeners by name.
         store: Address of the store.
     """
     listen = {name: f'127.0.0.1:{port}' for name, port in ports.items()}
@@ -71,7 +71,7 @@
         'vm': vm,
         'availability_zone': zone,
         'region': 'r',
-        # The servers' zone as well.
+        # Zone "z" is that of the servers.
         'regions': {zone: 'r', 'z': 'r'},
         'listen': {**listen, 'store': store},
         'memory_mb': 150,
--- a/standins/users_http.py
+++ b/standins/users_http.py
@@ -1,4 +1,4 @@
-"""HTTP servers of the users' platform's stand-in, as threads."""
+"""Threaded HTTP servers of the users' platform's stand-in."""
 
 import http.server
 import threading
@@ -7,7 +7,7 @@
 
 
 class Server(http.server.ThreadingHTTPServer):
-    """A server on a free port, in threads of its own."""
+    """An HTTP server that runs in its own threads."""
 
     daemon_threads = True
 
@@ -22,7 +22,7 @@
         return f'{host}:{port}'
 
     def handle_error(self, *_: object) -> None:
-        """Print nothing: callers that go away are part of the tests."""
+        """Ignore errors; the tests disconnect callers on purpose."""
 
     def stop(self) -> None:
         self.shutdown()
@@ -30,15 +30,15 @@
 
 
 class Handler(http.server.BaseHTTPRequestHandler):
-    """Reads bodies and sends whole answers."""
+    """Request handler that reads bodies and sends complete answers."""
 
     protocol_version = 'HTTP/1.1'
-    # Head and body are two writes; Nagle's algorithm would hold the body
-    # back until the head is acknowledged, up to 40 ms later.
+    # Headers and body are written separately. Nagle's algorithm would
+    # delay the body until the headers are acknowledged, by up to 40 ms.
     disable_nagle_algorithm = True
 
     def log_message(self, *_: object) -> None:
-        """Print nothing."""
+        """Disable request logging."""
 
     def read_body(self) -> bytes:
         return self.rfile.read(int(self.headers.get('Content-Length', 0)))
--- a/standins/users_platform.py
+++ b/standins/users_platform.py
@@ -1,7 +1,7 @@
-"""Stand-in of the users' platform: its store, plain servers and engines.
+"""Stand-in of the users' platform: store, plain servers and engines.
 
-They run as threads of the test, so that it can change what they do; the
-entry VM under test is a process of its own.
+They run in threads of the test process, so that a test can control them
+directly; the entry VM under test is a separate process.
 """
 
 import collections
@@ -24,11 +24,13 @@
     Attributes:
         is_down: Whether the store answers 503.
         rows: Value and version of each row by table and key.
-        state: The desired state that is in force.
-        runs: How often each request was run, over all servers.
-        run_times: Server and time of each run, in s of the steady clock.
-        lost_answers: How many calls are still to be done without an answer.
-        oldest: Changes before this version are forgotten.
+        state: Current desired state.
+        runs: Number of executions of each request on all servers.
+        run_times: Server and time of each execution, in s on the
+            monotonic clock.
+        answers_to_lose: Number of next calls that are executed without
+            an answer.
+        oldest_change: Version before which the change feed is discarded.
     """
 
     def __init__(self) -> None:
@@ -54,7 +56,7 @@
         return self.server.address
 
     def put(self, table: str, key: str, value: bytes | None) -> None:
-        """Write or, with None, delete a row."""
+        """Write a row, or delete it if the value is None."""
         with self.lock:
             self.version += 1
             self.log.append((self.version, table, key))
@@ -71,20 +73,20 @@
     def start_upstream(
         self, name: str, service: str, port: int = 0
     ) -> 'Upstream':
-        """Start a server, on any port if it is 0, and list it."""
+        """Start a server and list it; port 0 selects a free port."""
         upstream = Upstream(self, name, service, port)
         self.upstreams[upstream.address] = upstream
         upstream.publish_state('ready')
         return upstream
 
     def stop(self) -> None:
-        """Stop all of them."""
+        """Stop the store and all servers."""
         for upstream in self.upstreams.values():
             upstream.server.stop()
         self.server.stop()
 
     def record_run(self, request: str, upstream: str) -> None:
-        """Count a run of a request."""
+        """Record an execution of a request."""
         self.runs[request] += 1
         self.run_times[request].append((upstream, time.monotonic()))
 
@@ -107,12 +109,12 @@
     """One server of a service.
 
     Attributes:
-        faults: What befalls the next requests, in order: ``shed``,
-            ``cut``, ``vanish`` (the connection ends before the answer),
+        faults: Faults of the next requests, in order: ``shed``, ``cut``,
+            ``vanish`` (the connection closes before the answer),
             ``unframed``, ``extra`` (a second answer follows) or
-            ``forged`` (an answer without signature).
-        seen: Headers of the requests that came.
-        connections: Connections that were accepted.
+            ``forged`` (the answer lacks the server's stamp).
+        seen: Headers of the received requests.
+        connections: Number of accepted connections.
     """
 
     def __init__(
@@ -136,7 +138,7 @@
         return self.server.address
 
     def publish_state(self, state: str, address: str | None = None) -> None:
-        """Write the server's entry, with another address if one is given."""
+        """Write the server's entry, optionally with another address."""
         entry = {
             'service': self.service,
             'address': address or self.address,
@@ -150,6 +152,6 @@
         self.platform.put('servers', self.name, json.dumps(entry).encode())
 
     def crash(self) -> None:
-        """Break off all streams and accept no more."""
+        """Abort all streams and stop accepting connections."""
         self.broken.set()
         self.server.stop()
--- a/standins/users_store.py
+++ b/standins/users_store.py
@@ -1,4 +1,4 @@
-"""The store of the users' platform's stand-in: rows, feed, transactions."""
+"""Store of the users' platform's stand-in: rows, feed and transactions."""
 
 import base64
 import json
@@ -13,7 +13,7 @@
 
 
 class StoreHandler(users_http.Handler):
-    """Rows, their feed and transactions."""
+    """HTTP handler for rows, the change feed and transactions."""
 
     def do_GET(self) -> None:
         platform = self.server.owner
--- a/standins/users_upstream.py
+++ b/standins/users_upstream.py
@@ -1,4 +1,4 @@
-"""Servers of the users' platform's stand-in: plain ones and engines."""
+"""Plain servers and engines of the users' platform's stand-in."""
 
 import json
 import threading
@@ -13,7 +13,7 @@
 
 
 class UpstreamHandler(users_http.Handler):
-    """A plain server and an engine."""
+    """HTTP handler of a plain server or an engine."""
 
     def setup(self) -> None:
         super().setup()
@@ -70,7 +70,7 @@
         else:
             self.answer(200, headers, whole)
             if fault == 'extra':
-                # Comes when the next answer is expected.
+                # Arrives while the next answer is expected.
                 threading.Timer(
                     0.05, self.answer, (200, headers, whole)
                 ).start()
--- a/standins/verdict.py
+++ b/standins/verdict.py
@@ -1,4 +1,4 @@
-"""What came of a round, in one line."""
+"""Result of a round."""
 
 import collections
 import dataclasses
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RoundResult:
-    """What came of a round."""
+    """Result of a round; ``str`` gives a one-line summary."""
 
     seed: int
     deployment: str
--- a/tests/cli/deployment.feature
+++ b/tests/cli/deployment.feature
@@ -1,15 +1,15 @@
 @processes
-Feature: Operators look at a deployment on its platform
+Feature: Operators inspect a deployment on its platform
 
-  Scenario: a desired state that can be used
+  Scenario: a valid desired state
     Given an empty directory with the stand-in's desired state
     When the operator runs "deployment check state.json"
-    Then the command ends with 0 and prints "version 1 can be used"
+    Then the command ends with 0 and prints "version 1 is valid"
 
-  Scenario: all that cannot work is listed, and no key is shown
+  Scenario: all faults are listed without disclosing keys
     Given an empty directory with the stand-in's desired state
-    And its routes name an unknown service, no weight, a twin and a late objective
-    And two accounts share a key
+    And its routes have an unknown service, a zero weight, a duplicate and an objective above the timeout
+    And two accounts share one key
     When the operator runs "deployment check state.json"
     Then the command ends with 1 and its errors name
       | path                | remedy                              |
@@ -22,24 +22,24 @@
     When the operator runs "deployment check --json state.json"
     Then the command ends with 1 and prints JSON with 5 "faults"
 
-  Scenario: a state that cannot be read is refused with the field at fault
+  Scenario: a state that cannot be decoded is refused with the invalid field
     Given an empty directory with the stand-in's desired state
-    And its version is a word
+    And its version is not a number
     When the operator runs "deployment check state.json"
     Then the command ends with 3 and its errors say "$.version"
 
-  Scenario: the status shows state, upstreams and entry VMs
+  Scenario: the status shows the state, the upstreams and the entry VMs
     Given the platform's stand-in with two servers of each service
     And an empty directory
-    And an entry cannot be read and an entry VM has written its row
+    And an upstream entry is unreadable and an entry VM has written its row
     When the operator asks the stand-in's store for the status
     Then the command ends with 0 and prints "state version: 1"
     And the upstreams w1 and d2 are listed as live, the bad entry as unreadable
     And the entry VM vm-1 is listed
 
-  Scenario: a store that is away is an error with a remedy
+  Scenario: an unavailable store is an error with a remedy
     Given the platform's stand-in with two servers of each service
     And an empty directory
-    And the stand-in's store is away
+    And the stand-in's store is unavailable
     When the operator asks the stand-in's store for the status
     Then the command ends with 3 and its errors say "call again later"
--- a/tests/cli/exit_codes.feature
+++ b/tests/cli/exit_codes.feature
@@ -1,10 +1,10 @@
 @processes
-Feature: The command line as a process against a platform
+Feature: Output and exit codes of the command line
 
   Scenario: a check needs no platform and lists all faults
     Given the directory of the example "nadroga"
     When the operator runs "config check text.json"
-    Then the command ends with 0 and prints "the text can be used"
+    Then the command ends with 0 and prints "the services text is valid"
     When the operator breaks the text in three places
     And the operator runs "config check text.json"
     Then the command ends with 1 and its errors name
@@ -15,7 +15,7 @@
     When the operator runs "config check --json text.json"
     Then the command ends with 1 and prints JSON with 3 "faults"
 
-  Scenario: texts are accepted, shown, listed and audited
+  Scenario: services texts are accepted, shown, listed and audited
     Given the directory of the example "nadroga"
     And a platform
     When the operator runs "config accept --author ana text.json"
@@ -36,11 +36,11 @@
     When the operator runs "audit --author ana --json"
     Then the command ends with 0 and prints JSON with 1 entries
     When the operator runs "audit --since 2001-01-01 --until 2001-01-02"
-    Then the command ends with 0 and prints "nothing was recorded"
+    Then the command ends with 0 and prints "no changes recorded"
     When the operator runs "orders"
     Then the command ends with 0 and prints "fencing"
 
-  Scenario: a refused text changes nothing
+  Scenario: an invalid services text changes nothing
     Given the directory of the example "lagotermica"
     And a platform
     When the operator runs "config accept text.json"
@@ -50,14 +50,14 @@
     When the operator runs "config history --json"
     Then the command ends with 0 and prints JSON with 1 entries
 
-  Scenario: an accepted text whose answer was lost is not accepted twice
+  Scenario: a services text is accepted once although answers were lost
     Given the directory of the example "nadroga"
     And a platform
     And the platform loses the next 2 answers of a commit
     When the operator runs "config accept text.json"
     Then the command ends with 0 and prints "accepted version 1"
 
-  Scenario Outline: without a platform the exit code says so
+  Scenario Outline: an unavailable platform is reported by the exit code
     Given the directory of the example "nadroga"
     And a platform that refuses all requests
     When the operator runs "<command>"
@@ -71,7 +71,7 @@
       | report                  |
       | audit                   |
 
-  Scenario Outline: wrong usage ends with 2
+  Scenario Outline: usage errors end with 2
     Given the directory of the example "nadroga"
     When the operator runs "<command>"
     Then the command ends with 2 and its errors say "<message>"
@@ -84,23 +84,23 @@
       | report --since yesterday    | cannot read the time |
       | init nadroga                | Missing argument 'directory' |
 
-  Scenario: an unknown outcome is said, and the repeat is accepted once
+  Scenario: an unknown outcome is reported and a repetition is accepted once
     Given the directory of the example "nadroga"
     And a platform
-    And the platform answers no commit clearly
+    And the platform answers all commits with status 503
     When the operator runs "config accept --change c9 text.json"
     Then the command ends with 3 and its errors say "change id c9"
-    When the platform is well again
+    When the platform accepts commits again
     And the operator runs "config accept --change c9 text.json"
     Then the command ends with 0 and prints "accepted version 1"
     When the operator runs "config accept --change c9 text.json"
     Then the command ends with 0 and prints "accepted version 1"
 
-  Scenario: an example is private, opens with its keys, and overwrites nothing
+  Scenario: an example has private files and matching keys, and overwrites nothing
     Given an empty directory
     When the operator runs "init lagotermica --json ."
     Then the command ends with 0 and prints JSON with 10 entries
-    And nobody else may read its files
+    And its files are readable only by their owner
     And each printed key has its hash in the text
     When the operator runs "init nadroga ."
     Then the command ends with 1 and its errors say "not empty"
--- a/tests/cli_process.py
+++ b/tests/cli_process.py
@@ -1,4 +1,4 @@
-"""Runs the command line and the stand-in platform as processes."""
+"""Runs the command line and the platform's stand-in as subprocesses."""
 
 import json
 import pathlib
@@ -16,11 +16,11 @@
 
 
 def run_cli(arguments, directory, platform=''):
-    """Run the command line to its end.
+    """Run the command line and wait for it to exit.
 
     Args:
-        arguments: Its arguments.
-        directory: Where it runs.
+        arguments: Command line arguments.
+        directory: Working directory.
         platform: URL of the platform, or empty for none.
     """
     chosen = ['--platform', platform] if platform else []
@@ -35,7 +35,7 @@
 
 
 def write_example(name, directory):
-    """Write an example and return the keys of its client accounts."""
+    """Write an example deployment; return the keys of its accounts."""
     deployment = examples.DEPLOYMENTS.lookup(name)
     example = examples.create(
         deployment, 'http://127.0.0.1:9000', '127.0.0.1', 18_080
@@ -45,7 +45,7 @@
 
 
 class PlatformProcess:
-    """The stand-in platform on a port that the system chose."""
+    """The platform's stand-in on a free port."""
 
     def __init__(self):
         self.process = subprocess.Popen(
@@ -58,14 +58,14 @@
         self.url = f'http://{address}'
 
     def send(self, method, path, value):
-        """Send a JSON value to the platform's controls."""
+        """Send a JSON value to the platform's control endpoint."""
         request = urllib.request.Request(
             self.url + path, json.dumps(value).encode(), method=method
         )
         urllib.request.urlopen(request, timeout=TIMEOUT_S).close()
 
     def stop(self):
-        """End the process."""
+        """Terminate the process; kill it if it does not exit in time."""
         self.process.terminate()
         try:
             self.process.wait(TIMEOUT_S)
--- a/tests/entry_soak.py
+++ b/tests/entry_soak.py
@@ -1,8 +1,8 @@
-"""Seeded faults on real entry VMs, with callers that go on meanwhile.
+"""Soak test: seeded faults on real entry VMs under continuous load.
 
-Run it as ``python -m tests.entry_soak --first 1 --count 50``. Each round
-starts the stand-in of the platform and some entry VMs as processes behind
-links that can fail, and injects faults in series and overlapping.
+Run as ``python -m tests.entry_soak --first 1 --count 50``. Each round starts
+the platform's stand-in and several entry VM processes behind links that can
+fail, and injects consecutive and overlapping faults.
 """
 
 import itertools
@@ -27,7 +27,7 @@
 KEY_BOUND_MS = 5_000
 RECOVERY_S = 15.0
 REST_S = (0.1, 1.2)
-"""Pause between two faults; most last longer, so that they overlap."""
+"""Pause between two faults, in s; most faults last longer and overlap."""
 LINK_FAULTS = ('reset', 'old', 'requests', 'answers', 'all', 'slow')
 
 
@@ -35,10 +35,10 @@
     """One round.
 
     Args:
-        seed: Of the faults and their times.
-        vms: How many entry VMs.
+        seed: Seed of the faults and their times.
+        vms: Number of entry VMs.
         length_s: How long faults are injected.
-        zones: Among how many availability zones they are spread.
+        zones: Number of availability zones among which VMs are spread.
     """
 
     def __init__(self, seed, vms=3, length_s=ROUND_S, zones=1):
@@ -78,14 +78,14 @@
         return opened[f'{name}/']
 
     def start_entry(self, vm):
-        """Start an entry VM, each time behind a new link to the store."""
+        """Start an entry VM with a new link to the store."""
         store = self.open_link(f'store-{vm}', self.platform.address)
         return entry_process.EntryProcess(
             store, vm, self.zones[vm], revoke_ms=KEY_BOUND_MS
         )
 
     def run(self):
-        """Play the round and return its violations."""
+        """Run the round and return its violations."""
         for entry in self.entries.values():
             entry.wait_ready()
         callers = [
@@ -110,7 +110,7 @@
     # Faults
 
     def inject(self):
-        """Inject one fault that the seed chooses."""
+        """Inject one random fault."""
         faults = (
             (4, self.freeze),
             (3, self.kill),
@@ -128,28 +128,28 @@
         fault()
 
     def later(self, delay_s, action):
-        """Do something after a while, whatever else happens."""
+        """Call a function after a delay, from another thread."""
         timer = threading.Timer(delay_s, action)
         timer.start()
         self.timers.append(timer)
 
     def freeze(self):
-        """Stop a VM and let it go on later."""
+        """Pause a VM and resume it later."""
         process = self.entries[self.generator.choice(self.names)].process
         process.send_signal(signal.SIGSTOP)
         delay_s = self.generator.uniform(0.1, 3.0)
         self.later(delay_s, lambda: process.send_signal(signal.SIGCONT))
 
     def kill(self):
-        """Kill a VM and start it again."""
+        """Kill a VM and restart it."""
         self.replace(signal.SIGKILL)
 
     def terminate(self):
-        """Have a VM drain and start it again when it has ended."""
+        """Drain a VM and restart it after it has exited."""
         self.replace(signal.SIGTERM)
 
     def replace(self, number):
-        """End a VM by a signal; another run of it follows."""
+        """Send a VM a signal that ends it, and restart it afterwards."""
         vm = self.generator.choice(self.names)
         old = self.entries[vm]
         if old.process in self.told_to_end:
@@ -166,7 +166,7 @@
         self.later(0.1, start_again)
 
     def fail_link(self):
-        """Harm a link for a while."""
+        """Inject a temporary fault on a link."""
         links = [*self.servers, *(f'store-{vm}' for vm in self.names)]
         name = self.generator.choice(links)
         fault = self.generator.choice(LINK_FAULTS)
@@ -184,28 +184,29 @@
 
     def set_link(self, name, **fault):
         """Set faults of a link."""
-        # Names are matched by their parts; the slash ends each.
+        # Links are selected by substring. The trailing slash prevents a
+        # name from matching longer names.
         order = proxy_loop.FaultRequest([f'{name}/'], **fault)
         self.proxy.call(lambda: self.proxy.set_faults(order))
 
     def store_away(self):
-        """Have the store refuse all calls for a while."""
+        """Make the store refuse all calls temporarily."""
         self.platform.is_down = True
         self.later(self.generator.uniform(0.2, 3.0), self.store_back)
 
     def store_back(self):
-        """Have the store answer again."""
+        """Make the store answer again."""
         self.platform.is_down = False
 
     def store_loses(self):
-        """Lose answers of the store, or its history."""
+        """Lose some answers of the store, or its change history."""
         if self.generator.random() < 0.5:
             self.platform.answers_to_lose = self.generator.randint(1, 5)
         else:
             self.platform.oldest_change = self.platform.version + 1
 
     def change_servers(self):
-        """Have a server leave, crash or lapse, and start another."""
+        """Make a server leave, crash or lose its entry; start another."""
         name = self.generator.choice(list(self.servers))
         server = self.servers.pop(name)
         self.start_server(server.service)
@@ -225,13 +226,13 @@
         self.later(self.generator.uniform(1.5, 2.5), go)
 
     def shed(self):
-        """Have a server refuse, cut or lose the next requests."""
+        """Inject a fault into the next requests of a server."""
         server = self.servers[self.generator.choice(list(self.servers))]
         fault = self.generator.choice(('shed', 'cut', 'vanish', 'extra'))
         server.faults = [fault] * self.generator.randint(1, 3)
 
     def change_keys(self):
-        """Take a key away for good, or accept the same state again."""
+        """Revoke a key permanently, or accept the same state again."""
         state = dict(self.platform.state)
         state['version'] += 1
         if self.generator.random() < 0.5:
@@ -241,7 +242,7 @@
             self.record.revoked_s.setdefault('key-two', time.monotonic())
 
     def heal(self):
-        """End all faults of links and the store."""
+        """Remove all faults of links and the store."""
         self.store_back()
         self.platform.answers_to_lose = 0
         for name in self.proxy.links:
@@ -252,7 +253,7 @@
     # Callers
 
     def call_on(self, number):
-        """Send requests one after another, on kept connections."""
+        """Send requests sequentially over persistent connections."""
         generator = random.Random(number)
         caller, vm, count = None, None, 0
         while not self.stopping.is_set():
@@ -279,14 +280,14 @@
                 caller = None
 
     def connect(self, vm):
-        """Return a connection to a VM, or None if it is away."""
+        """Return a connection to a VM, or None if it is unreachable."""
         try:
             return entry_process.Caller(self.entries[vm].ports['callers'])
         except OSError:
             return None
 
     def ask(self, caller, call):
-        """Send a request; return whether the connection is kept."""
+        """Send a request; return whether the connection stays open."""
         headers = {
             'Request-Id': call.request,
             'Credential': call.key,
@@ -303,10 +304,10 @@
         closes = answer.headers.get('connection') == 'close'
         return answer.status != 0 and answer.is_whole and not closes
 
-    # The end
+    # Recovery and shutdown
 
     def await_recovery(self):
-        """Note the VMs that do not serve after all faults have ended."""
+        """Record the VMs that do not recover after all faults ended."""
         end_s = time.monotonic() + RECOVERY_S
         for vm in self.names:
             while not self.serves(vm):
@@ -316,7 +317,7 @@
                 time.sleep(0.1)
 
     def serves(self, vm):
-        """Return whether a VM is ready and serves a lookup."""
+        """Return whether a VM is ready and answers a lookup."""
         entry = self.entries[vm]
         if not entry.is_ready():
             return False
@@ -329,11 +330,11 @@
         return call.status == 200
 
     def finish(self):
-        """End all processes and return the violations."""
+        """Stop all processes and return the violations."""
         for vm, entry in self.entries.items():
             code = entry.process.poll()
             if code is not None and entry.process not in self.told_to_end:
-                self.record.ended.append(f'{vm} ended with {code}')
+                self.record.ended.append(f'{vm} exited with {code}')
             entry.stop()
         self.platform.stop()
         self.record.runs = dict(self.platform.run_times)
@@ -347,7 +348,7 @@
     seconds: float = ROUND_S,
     zones: int = 1,
 ) -> None:
-    """Play rounds with seeds in a row; the exit code tells of violations."""
+    """Run rounds with consecutive seeds; exit with 1 on violations."""
     failed = []
     for seed in range(first, first + count):
         one = Round(seed, vms, seconds, zones)
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,7 +1,7 @@
-"""Runs all features; fails on a red scenario that is not known.
+"""Runs the features; fails on scenarios that are not known to fail.
 
-Each feature file runs in a process of its own. Those that start daemons
-are tagged ``@processes`` and run fewer at a time.
+Each feature file runs in its own process. Features that start daemons are
+tagged ``@processes``, and fewer of them run in parallel.
 """
 
 import concurrent.futures
@@ -31,10 +31,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class FeatureOutcome:
-    """What became of the scenarios of one feature file.
+    """Results of the scenarios of one feature file.
 
     Attributes:
-        broken: Whether the run failed in another way than by a scenario.
+        broken: Whether the run failed other than by a failed scenario.
     """
 
     path: str
@@ -45,7 +45,7 @@
 
 
 def known_red() -> set[str]:
-    """Return the names of the scenarios that are known to fail."""
+    """Return the names of scenarios listed as known failures."""
     if not KNOWN_RED.exists():
         return set()
     text = KNOWN_RED.read_text(encoding='utf-8')
@@ -56,7 +56,7 @@
     """Run features and return the exit code.
 
     Args:
-        arguments: Feature files or folders; none means all.
+        arguments: Feature files or directories; all features if empty.
     """
     files = _feature_files(arguments or [str(TESTS)])
     calm = [f for f in files if PROCESSES_TAG not in f.read_text()]
@@ -70,7 +70,7 @@
     """Run one feature file in this process.
 
     Args:
-        path: Path of the file.
+        path: Path of the feature file.
     """
     output = io.StringIO()
     with contextlib.redirect_stdout(output):
--- a/tests/standins/checkers.feature
+++ b/tests/standins/checkers.feature
@@ -1,20 +1,20 @@
-Feature: Checkers of the users' invariants
+Feature: Checkers of the required invariants
 
-  Scenario: a sound history holds
-    Given a sound history of a round
-    Then the checkers find nothing
+  Scenario: a valid history has no violations
+    Given a valid history of a round
+    Then the checkers find no violation
 
-  Scenario Outline: each checker catches a broken history
-    Given a sound history of a round
-    When the history is broken by <fault>
-    Then only the checker <checker> finds it
+  Scenario Outline: each checker detects its violation
+    Given a valid history of a round
+    When the history is changed to contain <fault>
+    Then only the checker <checker> finds a violation
 
     Examples:
       | fault                               | checker                 |
       | a token delivered twice             | tokens_once_in_order    |
-      | a token left out                    | tokens_once_in_order    |
+      | a missing token                     | tokens_once_in_order    |
       | two tokens in the wrong order       | tokens_once_in_order    |
-      | a tail from another generation      | one_generation          |
+      | a token of another generation       | one_generation          |
       | tokens of another request           | own_tokens              |
       | an end before the last token        | whole_answer            |
       | the answer of another call          | own_answer              |
@@ -25,11 +25,11 @@
       | an unkeyed call that ran twice      | at_most_once            |
       | an answer to a call that never ran  | done_ran                |
       | an answer that never comes          | nothing_dropped         |
-      | new work to an upstream that leaves | leavers_get_nothing_new |
+      | new work on a leaving upstream      | leavers_get_nothing_new |
       | a drain that fails                  | drain_cuts_nothing      |
       | a request cut by a drain            | drain_cuts_nothing      |
-      | a config version that falls         | config_never_falls      |
-      | a config that does not spread       | config_spreads          |
+      | a decreasing config version         | config_never_falls      |
+      | a config that does not propagate    | config_spreads          |
 
-  Scenario: any one change of a token is caught
-    Then any token dropped, repeated or swapped in any answer is caught
+  Scenario: any single change of the token sequence is detected
+    Then any token dropped, repeated or swapped in any answer is detected
--- a/tests/standins/fault_proxy.feature
+++ b/tests/standins/fault_proxy.feature
@@ -2,12 +2,12 @@
 
   Background:
     Given an echo server behind a fault proxy
-    And a connection through the proxy that works
+    And a working connection through the proxy
 
-  Scenario: open connections fall silent for good while new ones work
-    When the open connections fall silent
+  Scenario: open connections become black holes while new ones work
+    When the open connections become black holes
     Then a new connection through the proxy works
-    And nothing comes over the old connection, nor is it closed
+    And the old connection delivers no data and is not closed
 
   Scenario: open connections are reset
     When the open connections are reset
@@ -16,16 +16,16 @@
 
   Scenario: one direction is closed
     When the direction towards the caller is closed
-    Then the old connection reads its end and can still send
+    Then the old connection reads the end of data and can still send
 
   Scenario: new connections are refused
-    Then new connections are refused until that is undone
+    Then new connections are refused until the fault is removed
 
   Scenario: bytes are delayed
     Then an echo takes at least twice the delay
 
-  Scenario: links of a group share a rate
-    Then two connections together get no more than the shared rate
+  Scenario: links of a group share a rate limit
+    Then two connections together do not exceed the shared rate
 
-  Scenario: back-pressure loses nothing
-    Then a large body comes back unharmed
+  Scenario: back-pressure loses no data
+    Then a large body is echoed unchanged
--- a/tests/standins/table.feature
+++ b/tests/standins/table.feature
@@ -1,4 +1,4 @@
 Feature: Transactional table of the platform's stand-in
 
-  Scenario: transactions are all or nothing and versions never repeat
-    Then any transactions leave the table as a simple model has it
+  Scenario: transactions are atomic and versions never repeat
+    Then after any transactions the table equals a simple model
--- a/tests/steps/cli_deployment.py
+++ b/tests/steps/cli_deployment.py
@@ -1,4 +1,4 @@
-"""Steps on the command group that looks at a deployment."""
+"""Steps for the commands that inspect a deployment."""
 
 import json
 import pathlib
@@ -28,8 +28,8 @@
 
 
 @behave.given(
-    'its routes name an unknown service, no weight, a twin and a late '
-    'objective'
+    'its routes have an unknown service, a zero weight, a duplicate and an '
+    'objective above the timeout'
 )
 def break_routes(context):
     book, look, write = context.state['routes']
@@ -41,13 +41,13 @@
     _write(context)
 
 
-@behave.given('two accounts share a key')
+@behave.given('two accounts share one key')
 def share_key(context):
     context.state['tenants'].append({'name': 'zeta', 'apiKeys': ['key-two']})
     _write(context)
 
 
-@behave.given('its version is a word')
+@behave.given('its version is not a number')
 def word_version(context):
     context.state['version'] = 'seven'
     _write(context)
@@ -58,15 +58,17 @@
     assert 'key-two' not in context.done.stdout + context.done.stderr
 
 
-@behave.given('an entry cannot be read and an entry VM has written its row')
+@behave.given(
+    'an upstream entry is unreadable and an entry VM has written its row'
+)
 def rows_written(context):
     context.platform.put('servers', 'bad', b'{"service": 3')
     row = {'address': '10.0.0.1:7200', 'availability_zone': 'z'}
     context.platform.put('eelgrassknot-vms', 'vm-1', json.dumps(row).encode())
 
 
-@behave.given("the stand-in's store is away")
-def store_away(context):
+@behave.given("the stand-in's store is unavailable")
+def store_unavailable(context):
     context.platform.is_down = True
 
 
--- a/tests/steps/cli_exit_codes.py
+++ b/tests/steps/cli_exit_codes.py
@@ -1,4 +1,4 @@
-"""Steps that run the command line as a process."""
+"""Steps that run the command line in a subprocess."""
 
 import hashlib
 import json
@@ -45,14 +45,14 @@
     context.platform.send('POST', '/control', fault)
 
 
-@behave.given('the platform answers no commit clearly')
-def answers_nothing_clearly(context):
+@behave.given('the platform answers all commits with status 503')
+def refuse_commits(context):
     fault = {'refuse_writes': {'probability': 1.0, 'following': 0}}
     context.platform.send('POST', '/control', fault)
 
 
-@behave.when('the platform is well again')
-def platform_well(context):
+@behave.when('the platform accepts commits again')
+def accept_commits(context):
     fault = {'refuse_writes': {'probability': 0.0, 'following': 0}}
     context.platform.send('POST', '/control', fault)
 
@@ -146,7 +146,7 @@
     assert json.loads(context.done.stdout) == json.loads(accepted)
 
 
-@behave.then('nobody else may read its files')
+@behave.then('its files are readable only by their owner')
 def private_files(context):
     files = [p for p in context.directory.rglob('*') if p.is_file()]
     assert len(files) == 8
--- a/tests/steps/standins_checkers.py
+++ b/tests/steps/standins_checkers.py
@@ -1,4 +1,4 @@
-"""Steps on the checkers: sound histories and broken ones."""
+"""Steps for the checkers, with valid histories and violations."""
 
 import copy
 
@@ -110,9 +110,9 @@
 
 BREAKS = {
     'a token delivered twice': _repeat,
-    'a token left out': _omit,
+    'a missing token': _omit,
     'two tokens in the wrong order': _swap,
-    'a tail from another generation': _mix,
+    'a token of another generation': _mix,
     'tokens of another request': _cross,
     'an end before the last token': lambda h: h.streams[0].tokens.pop(),
     'the answer of another call': lambda h: setattr(h.calls[0], 'answer', 'b'),
@@ -122,39 +122,41 @@
     'a keyed call that ran twice': lambda h: _execute(h, 'c3', 'k'),
     'an unkeyed call that ran twice': lambda h: _execute(h, 'c1', None),
     'an answer to a call that never ran': lambda h: h.executions.pop(0),
-    'new work to an upstream that leaves': _begin_late,
+    'new work on a leaving upstream': _begin_late,
     'a drain that fails': lambda h: h.drained.update({'nadi-2': 1}),
     'an answer that never comes': lambda h: setattr(
         h.calls[1], 'outcome', 'cut'
     ),
     'a request cut by a drain': lambda h: h.cut_by_drain.append('s1'),
-    'a config version that falls': _fall,
-    'a config that does not spread': _behind,
+    'a decreasing config version': _fall,
+    'a config that does not propagate': _behind,
 }
 
 
-@behave.given('a sound history of a round')
+@behave.given('a valid history of a round')
 def given_sound(context):
     context.history = _sound()
 
 
-@behave.when('the history is broken by {fault}')
+@behave.when('the history is changed to contain {fault}')
 def break_history(context, fault):
     BREAKS[fault](context.history)
 
 
-@behave.then('the checkers find nothing')
+@behave.then('the checkers find no violation')
 def find_nothing(context):
     assert checkers.check(context.history) == []
 
 
-@behave.then('only the checker {name} finds it')
+@behave.then('only the checker {name} finds a violation')
 def only_finds(context, name):
     found = {v.checker for v in checkers.check(context.history)}
     assert found == {name}, found
 
 
-@behave.then('any token dropped, repeated or swapped in any answer is caught')
+@behave.then(
+    'any token dropped, repeated or swapped in any answer is detected'
+)
 def any_change_is_caught(context):
     @hypothesis.given(
         strategies.integers(0, TOKENS - 2),
--- a/tests/steps/standins_engine_model.py
+++ b/tests/steps/standins_engine_model.py
@@ -1,4 +1,4 @@
-"""Steps on the engine's model, driven by a clock of the test."""
+"""Steps for the engine simulation, with time controlled by the test."""
 
 import behave
 import hypothesis
@@ -119,7 +119,7 @@
         context.waits.append(token.at_ms - begin_ms)
 
 
-@behave.then('the second first token comes sooner')
+@behave.then('the first token of the second run takes less time')
 def comes_sooner(context):
     first, second = context.waits
     assert second < first, context.waits
@@ -135,7 +135,7 @@
     assert len(_run(context.engine)) == 5 + 1
 
 
-@behave.when('generation "{name}" is cancelled in the middle')
+@behave.when('generation "{name}" is cancelled while it is running')
 def cancel_midway(context, name):
     _submit(context.engine, name, 50)
     context.engine.advance(0.0)
@@ -143,7 +143,7 @@
     context.engine.cancel(name, 200.0)
 
 
-@behave.then('no memory is held and it produces no more')
+@behave.then('no memory is used and no further tokens are produced')
 def holds_nothing(context):
     assert context.engine.kv_tokens_used() == 0
     assert context.engine.advance(10_000.0) == []
--- a/tests/steps/standins_fault_proxy.py
+++ b/tests/steps/standins_fault_proxy.py
@@ -1,4 +1,8 @@
-"""Steps on the fault proxy: sockets, with waits but no bounds on time."""
+"""Steps for the fault proxy.
+
+They use real sockets and check lower bounds on elapsed time only, so that
+they also pass on a busy machine.
+"""
 
 import socket
 import threading
@@ -63,13 +67,13 @@
     return received == data
 
 
-@behave.given('a connection through the proxy that works')
+@behave.given('a working connection through the proxy')
 def given_connection(context):
     context.old = _connect(context)
     assert _echoes(context.old)
 
 
-@behave.when('the open connections fall silent')
+@behave.when('the open connections become black holes')
 def fall_silent(context):
     _fault(context, black_hole='old')
 
@@ -84,7 +88,7 @@
     _fault(context, half_close=True)
 
 
-@behave.then('nothing comes over the old connection, nor is it closed')
+@behave.then('the old connection delivers no data and is not closed')
 def old_is_silent(context):
     context.old.sendall(b'lost')
     context.old.settimeout(0.3)
@@ -106,16 +110,16 @@
         context.old.recv(1)
     except ConnectionResetError:
         return
-    raise AssertionError('no reset')
+    raise AssertionError('the connection was not reset')
 
 
-@behave.then('the old connection reads its end and can still send')
+@behave.then('the old connection reads the end of data and can still send')
 def old_is_half_closed(context):
     assert context.old.recv(1) == b''
     context.old.sendall(b'still')
 
 
-@behave.then('new connections are refused until that is undone')
+@behave.then('new connections are refused until the fault is removed')
 def refused(context):
     _fault(context, refuse=True)
     try:
@@ -124,7 +128,7 @@
         _fault(context, refuse=False)
         assert _echoes(_connect(context))
         return
-    raise AssertionError('not refused')
+    raise AssertionError('the connection was not refused')
 
 
 @behave.then('an echo takes at least twice the delay')
@@ -136,7 +140,7 @@
     assert taken_ms >= 2 * DELAY_MS, taken_ms
 
 
-@behave.then('two connections together get no more than the shared rate')
+@behave.then('two connections together do not exceed the shared rate')
 def throttled(context):
     bits = 4_000_000.0
     context.loop.call(lambda: context.loop.set_rates({'narrow': bits}))
@@ -154,7 +158,7 @@
     assert time.monotonic() - began_s >= least_s
 
 
-@behave.then('a large body comes back unharmed')
+@behave.then('a large body is echoed unchanged')
 def large_body(context):
     context.old.settimeout(GENEROUS_S)
     data = bytes(range(256)) * 8_000
--- a/tests/steps/standins_table.py
+++ b/tests/steps/standins_table.py
@@ -1,4 +1,4 @@
-"""Steps on the table of the platform's stand-in."""
+"""Steps for the table of the platform's stand-in."""
 
 import behave
 import hypothesis
@@ -27,7 +27,7 @@
     return strategies.lists(transaction, max_size=15)
 
 
-@behave.then('any transactions leave the table as a simple model has it')
+@behave.then('after any transactions the table equals a simple model')
 def matches_model(context):
     @hypothesis.given(_transactions())
     @hypothesis.settings(max_examples=100, deadline=None)
--- a/tests/steps/standins_wire.py
+++ b/tests/steps/standins_wire.py
@@ -1,4 +1,4 @@
-"""Steps on the stand-ins as processes."""
+"""Steps for the stand-ins as processes."""
 
 import http.client
 import pathlib
@@ -79,7 +79,7 @@
     context.bodies = [_generate(context, 'g', tokens)[2] for _ in range(2)]
 
 
-@behave.then('both streams have the same {tokens:d} tokens and an end')
+@behave.then('both streams have the same {tokens:d} tokens and an end event')
 def same_tokens(context, tokens):
     first, second = context.bodies
     assert first == second
@@ -103,7 +103,7 @@
     assert len(history['generations']) == 1
 
 
-@behave.then('a running generation can be cancelled, also twice')
+@behave.then('a running generation can be cancelled repeatedly')
 def cancelled(context):
     _ask(context, 'POST', '/control', {'stalled': True})
     connection = http.client.HTTPConnection(context.address, timeout=30)
@@ -131,7 +131,7 @@
 
 
 @behave.then(
-    'an order with fencing number {taken:d} is taken and one with '
+    'an order with fencing number {taken:d} is accepted and one with '
     '{refused:d} is refused'
 )
 def fencing(context, taken, refused):
@@ -144,13 +144,13 @@
     assert (status, told) == (409, {'error': 'stale_fencing', 'seen': taken})
 
 
-@behave.then('the ordered version is held after its load time')
+@behave.then('the ordered version is loaded after the load time')
 def version_held(context):
     def held():
         _, state = _ask(context, 'GET', '/orders/state')
         return state['models'][0]['version'] == '9'
 
-    processes.wait_until(held, 'the version is held')
+    processes.wait_until(held, 'the version is loaded')
 
 
 @behave.when('it is told to leave')
@@ -171,13 +171,13 @@
     assert _ask(context, 'POST', '/transactions', TRANSACTION)[0] == 0
 
 
-@behave.then('its row is there')
+@behave.then('its row exists')
 def row_is_there(context):
     _, row = _ask(context, 'GET', '/rows/a/k')
     assert row == {'value': 1, 'version': 1}
 
 
-@behave.then('a repeat of the transaction conflicts')
+@behave.then('a repetition of the transaction conflicts')
 def repeat_conflicts(context):
     status, told = _ask(context, 'POST', '/transactions', TRANSACTION)
     assert status == 409
@@ -191,7 +191,7 @@
     _ask(context, 'PUT', '/control/vms', {'vms': [{'vm': 'second'}]})
 
 
-@behave.then('the earlier list is shown until it no longer lags')
+@behave.then('the earlier list is returned until the lag ends')
 def earlier_list(context):
     assert _ask(context, 'GET', '/vms')[1]['vms'] == [{'vm': 'first'}]
     _ask(context, 'POST', '/control', {'vm_list_lag_ms': 0.0})
@@ -206,7 +206,7 @@
     assert headers['X-Request-Id'] == 'first'
 
 
-@behave.then('a call that was closed was executed once')
+@behave.then('a call whose connection was closed was executed once')
 def closed_executed(context):
     _ask(context, 'POST', '/control', {'closed': {'following': 1}})
     try:
--- a/tests/steps/system_openai_client.py
+++ b/tests/steps/system_openai_client.py
@@ -1,4 +1,4 @@
-"""Steps on an unmodified OpenAI client against real processes."""
+"""Steps for an unmodified OpenAI client with real processes."""
 
 import pathlib
 
@@ -46,7 +46,7 @@
     assert _indexes(''.join(texts)) == list(range(count))
 
 
-@behave.then('it gets a whole chat answer of {count:d} tokens')
+@behave.then('it gets an unstreamed chat answer of {count:d} tokens')
 def answers_chat(context, count):
     message = {'role': 'user', 'content': f'tokens={count}'}
     answer = context.client.chat.completions.create(
@@ -63,7 +63,7 @@
     assert models == [name], models
 
 
-@behave.then('a wrong key raises its authentication error')
+@behave.then("a wrong key raises the client's authentication error")
 def wrong_key(context):
     try:
         _client(context, 'wrong').models.list()
@@ -72,7 +72,7 @@
     raise AssertionError('the wrong key was accepted')
 
 
-@behave.then('an unknown model raises its not-found error')
+@behave.then("an unknown model raises the client's not-found error")
 def unknown_model(context):
     try:
         context.client.completions.create(model='none', prompt='x')
--- a/tests/steps/system_rounds.py
+++ b/tests/steps/system_rounds.py
@@ -1,4 +1,4 @@
-"""Steps on rounds with real processes."""
+"""Steps for fault rounds with real processes."""
 
 import pathlib
 
@@ -19,7 +19,9 @@
 ALL_FAULTS = ('daemon_drained', 'plain_closed')
 
 
-@behave.when('a small round of {deployment} with seed {seed:d} meets {faults}')
+@behave.when(
+    'a small round of {deployment} with seed {seed:d} runs with {faults}'
+)
 def run_small_round(context, deployment, seed, faults):
     context.verdict = rounds.Round(
         seed,
@@ -33,8 +35,8 @@
 
 @behave.then('no checker finds a violation')
 def no_violation(context):
-    # Bounds on the wall clock belong to `make soak`, not to a run whose
-    # verdict has to be the same on a busy machine.
+    # Bounds on elapsed time are checked by `make soak` only, because the
+    # result of this test must not depend on the load of the machine.
     found = [
         str(violation)
         for violation in context.verdict.violations
--- a/tests/system/broken_daemon.py
+++ b/tests/system/broken_daemon.py
@@ -1,7 +1,7 @@
-"""Daemons that are broken on purpose, to prove that checkers catch them.
+"""Daemons with deliberate defects, to verify that checkers detect them.
 
-Run in place of the daemon's module; the variable ``DEFECTS`` of the
-environment names the defects, separated by commas.
+This module is run instead of the daemon's module. The environment variable
+``DEFECTS`` lists the defects, separated by commas.
 """
 
 import os
@@ -33,7 +33,7 @@
 
 
 def _omit_tokens():
-    """Leave out every twentieth token."""
+    """Omit every twentieth token."""
     _wrap_events(lambda token, event: event * (2 - _times(token)))
 
 
@@ -52,7 +52,7 @@
     plain = http_client.request
 
     def request(method, url, *args, **kwargs):
-        # The platform is asked as ever.
+        # Requests to the platform are sent only once.
         if method == 'POST' and '/views/' not in url:
             plain(method, url, *args, **kwargs)
         return plain(method, url, *args, **kwargs)
@@ -61,7 +61,7 @@
 
 
 def _lie_not_run():
-    """Say of every unknown outcome that the request was not run."""
+    """Report every unknown outcome as not run."""
     plain = errors.response
 
     def response(status, body, *args, **kwargs):
@@ -80,12 +80,12 @@
 
 
 def _end_at_once():
-    """End on SIGTERM without a drain."""
+    """Exit on SIGTERM without draining."""
     signal.signal = lambda *_: None
 
 
 def _ignore_leaving():
-    """Take every upstream for live."""
+    """Treat every upstream as live."""
     plain = events.UpstreamInfo.__init__
 
     def init(self, *args, **kwargs):
@@ -96,7 +96,7 @@
 
 
 def _revert_config():
-    """Show a lower version in every other status."""
+    """Report a lower version in every second status document."""
     plain = operators.OperatorsPart.document
     asked = []
 
@@ -121,7 +121,7 @@
 
 
 def main():
-    """Break the daemon and run it."""
+    """Apply the defects and run the daemon."""
     for name in os.environ[VARIABLE].split(','):
         DEFECTS[name]()
     return daemon.main()
--- a/tests/system/controls.py
+++ b/tests/system/controls.py
@@ -1,6 +1,7 @@
-"""Runs one round with each broken daemon and tells what caught it.
+"""Runs a round with each defective daemon and reports which checkers fired.
 
-Run as ``python -m tests.system.controls``; exits 1 if a defect escapes.
+Run as ``python -m tests.system.controls``; exits with 1 if a defect is not
+detected.
 """
 
 import os
@@ -17,7 +18,7 @@
 SEED = 4
 FULL_PACE = rounds.LoadProfile()
 
-# The faults that bring each defect out, and the checkers that see it.
+# Faults that expose each defect, and the checker that must detect it.
 CONTROLS = {
     'repeat_tokens': (('platform_slow',), 'tokens_once_in_order'),
     'omit_tokens': (('platform_slow',), 'tokens_once_in_order'),
@@ -35,7 +36,7 @@
     pace: rounds.LoadProfile = FULL_PACE,
     is_small: bool = False,
 ) -> set[str]:
-    """Run a round with broken daemons; return the checkers that fired."""
+    """Run a round with defective daemons; return the checkers that fired."""
     os.environ[broken_daemon.VARIABLE] = ','.join(defects)
     try:
         one = rounds.Round(
@@ -47,7 +48,7 @@
 
 
 def main() -> int:
-    """Run all controls."""
+    """Run a round for each defect and return the exit code."""
     escaped = 0
     for defect, (faults, checker) in CONTROLS.items():
         fired = run_control((defect,), faults)
--- a/tests/system/openai_client.feature
+++ b/tests/system/openai_client.feature
@@ -1,10 +1,10 @@
 @processes
 Feature: An unmodified OpenAI client
 
-  Scenario: it streams, does not stream, lists models and gets typed errors
+  Scenario: streaming, unstreamed answers, the list of models and errors
     Given a small deployment and an OpenAI client of an account
     Then it streams a completion of 12 tokens in order
-    And it gets a whole chat answer of 9 tokens
+    And it gets an unstreamed chat answer of 9 tokens
     And it lists the model "shop-assistant"
-    And a wrong key raises its authentication error
-    And an unknown model raises its not-found error
+    And a wrong key raises the client's authentication error
+    And an unknown model raises the client's not-found error
--- a/tests/system/rounds.feature
+++ b/tests/system/rounds.feature
@@ -1,8 +1,8 @@
 @processes
 Feature: Fault rounds with real processes
 
-  Scenario Outline: the invariants hold through a round
-    When a small round of <deployment> with seed <seed> meets <faults>
+  Scenario Outline: the invariants hold during faults
+    When a small round of <deployment> with seed <seed> runs with <faults>
     Then no checker finds a violation
     And streams and calls were answered
 
@@ -11,7 +11,7 @@
       | nadroga     | 13   | zone_partition,daemon_killed     |
       | lagotermica | 12   | daemon_drained,engine_killed     |
 
-  Scenario: a daemon that breaks the invariants is caught by every checker
+  Scenario: the checkers detect daemons that violate the invariants
     When a small round runs with daemons that have all defects
     Then these checkers find violations:
       | checker              |
