--- a/eelgrassknot/settings/entry.py
+++ b/eelgrassknot/settings/entry.py
@@ -1,4 +1,4 @@
-"""Settings of an entry VM that forwards on a platform."""
+"""Settings of an entry VM process that forwards requests."""
 
 import msgspec
 
@@ -9,18 +9,18 @@
 
 
 class _StrictStruct(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An unknown or missing field is an error that names it."""
+    """Base whose decoding fails on unknown fields."""
 
 
 class Addresses(_StrictStruct):
-    """Addresses, as ``IP:port``.
+    """Addresses in the form ``IP:port``.
 
     Attributes:
-        callers: Where callers connect.
-        readiness: Where the balancer asks whether this VM is ready.
-        peers: Where other entry VMs connect.
-        metrics: Where metrics are read.
-        store: Where the platform's metadata store is.
+        callers: Listening address for callers.
+        readiness: Listening address for the balancer's readiness checks.
+        peers: Listening address for other entry VMs.
+        metrics: Listening address for metrics requests.
+        store: Address of the platform's metadata store.
     """
 
     callers: str
@@ -31,19 +31,20 @@
 
 
 class Rules(_StrictStruct):
-    """Bounds of the deployment, as its platform sets them.
+    """Limits that the platform sets for the deployment.
 
     Attributes:
-        drain_ms: A leaving upstream gets nothing new after this.
-        grace_s: Seconds from SIGTERM to SIGKILL.
-        contact_ms: Time without trouble after which bounds hold.
-        revoke_ms: A revoked key opens nothing after this, or None where
-            revocation has no bound of its own.
-        address_reuse_s: Seconds after which an address may name another
-            upstream.
-        retry_ratio: Repeats allowed for each request of a service.
-        retry_burst: Repeats allowed beside those, over all VMs.
-        retry_window_s: Seconds of the window over which both are counted.
+        drain_ms: Time after which a leaving upstream gets no new work.
+        grace_s: Seconds between SIGTERM and SIGKILL.
+        contact_ms: Time without failures after which the limits hold.
+        revoke_ms: Time after which a revoked key is rejected, or None if
+            revocation has no limit of its own.
+        address_reuse_s: Seconds after which an address may be reused by
+            another upstream.
+        retry_ratio: Retries allowed per request of a service.
+        retry_burst: Additional retries allowed, over all VMs.
+        retry_window_s: Length in seconds of the window over which retries
+            are counted.
     """
 
     drain_ms: float
@@ -57,13 +58,13 @@
 
 
 class EntrySettings(_StrictStruct):
-    """What an entry VM needs before it reaches anything.
+    """Settings of an entry VM that it needs before contacting any service.
 
     Attributes:
         regions: Region of each availability zone.
-        memory_mb: Memory that the process may take.
-        descriptors: File descriptors that it may open.
-        heartbeat_ms: How often servers write to the store.
+        memory_mb: Memory limit of the process.
+        descriptors: Maximum number of open file descriptors.
+        heartbeat_ms: Interval at which servers write to the store.
     """
 
     vm: str
@@ -85,8 +86,8 @@
         path: Path of the JSON file.
 
     Raises:
-        SettingsError: If the file cannot be used; the message names the
-            field and the remedy.
+        SettingsError: If the file is invalid; the message names the field
+            and the remedy.
     """
     document = vm_settings.read_document(path)
     try:
--- a/eelgrassknot/settings/examples.py
+++ b/eelgrassknot/settings/examples.py
@@ -1,4 +1,4 @@
-"""Complete example texts and VM settings of the two deployments."""
+"""Complete example services texts and VM settings of two deployments."""
 
 import dataclasses
 import hashlib
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class EntryVms:
-    """How many entry VMs an availability zone has, and their names."""
+    """Number and name prefix of the entry VMs in an availability zone."""
 
     region: str
     availability_zone: str
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Deployment:
-    """What is particular to one deployment."""
+    """Parameters of an example deployment."""
 
     name: str
     entry_vms: tuple[EntryVms, ...]
@@ -45,11 +45,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Example:
-    """An example that can be written out.
+    """Services text, VM settings and account keys of an example.
 
     Attributes:
-        account_keys: Bearer key of each client account; the text holds
-            only their hashes.
+        account_keys: Bearer key of each client account; the services text
+            contains only their hashes.
     """
 
     text: services_text.ServicesText
@@ -142,13 +142,13 @@
 def create(
     deployment: Deployment, platform_url: str, host: str, first_port: int
 ) -> Example:
-    """Return an example with fresh secrets.
+    """Return an example with newly generated secrets.
 
     Args:
-        deployment: Which deployment.
+        deployment: The deployment.
         platform_url: URL of the platform.
-        host: IP number on which all VMs of the example listen.
-        first_port: The VMs take three ports each from this one on.
+        host: IP address on which all VMs of the example listen.
+        first_port: First port; each VM uses three consecutive ports.
     """
     names = deployment.large_accounts + deployment.small_accounts
     account_keys = {ids.ClientAccountId(name): _secret() for name in names}
--- a/eelgrassknot/settings/ranges.py
+++ b/eelgrassknot/settings/ranges.py
@@ -1,4 +1,4 @@
-"""Bounds on the single values of the operators' text."""
+"""Validation of the single values of a services text."""
 
 import collections.abc
 import dataclasses
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Bound:
-    """The least value of a number, and whether it is itself allowed."""
+    """Lower bound of a number."""
 
     minimum: float
     inclusive: bool = False
@@ -60,14 +60,14 @@
 
 
 def get_field(value: typing.Any, name: str) -> typing.Any:
-    """Return a field's value, or None where there is none."""
+    """Return the value of a field, or None if it is absent."""
     if isinstance(value, dict):
         return value.get(name)
     return None
 
 
 def array_items(value: typing.Any, name: str, path: str) -> Entries:
-    """Yield the elements of an array field with their JSON paths."""
+    """Yield the items of an array field with their JSON paths."""
     items = get_field(value, name)
     if isinstance(items, list):
         location = faults.field_path(path, name)
@@ -76,15 +76,15 @@
 
 
 def string_or_none(value: typing.Any) -> str | None:
-    """Return a value if it is a string, else None."""
+    """Return the value if it is a string, otherwise None."""
     return value if isinstance(value, str) else None
 
 
 def range_faults(document: typing.Any) -> Faults:
-    """Yield the faults of single values in a parsed text.
+    """Yield the faults of single values in a parsed services text.
 
     Args:
-        document: The parsed text; it may be of any shape.
+        document: The parsed text, of any structure.
     """
     if get_field(document, 'deployment') == '':
         location = faults.field_path(faults.ROOT, 'deployment')
@@ -145,7 +145,7 @@
         yield faults.Fault(
             faults.field_path(path, 'model'),
             'a service of kind "engine" has no model',
-            'name the model that its engines are to hold',
+            'name the model that its engines serve',
         )
     if kind == 'engine' and get_field(service, 'calls'):
         yield faults.Fault(
@@ -166,7 +166,7 @@
     if method is not None and not _METHOD.fullmatch(method):
         yield faults.Fault(
             faults.field_path(path, 'method'),
-            f'{faults.quote(method)} is no HTTP method',
+            f'{faults.quote(method)} is not an HTTP method',
             'write a method in capital letters, such as "POST"',
         )
     prefix = string_or_none(get_field(call, 'path'))
@@ -203,7 +203,7 @@
     if not _NAME.fullmatch(name) or len(name) > MAX_NAME_CHARACTERS:
         yield faults.Fault(
             path,
-            f'{faults.quote(name)} cannot be used as a name',
+            f'{faults.quote(name)} is not a valid name',
             f'use 1 to {MAX_NAME_CHARACTERS} characters'
             ' without spaces and "/"',
         )
--- a/eelgrassknot/settings/structure.py
+++ b/eelgrassknot/settings/structure.py
@@ -1,8 +1,8 @@
-"""Finds all structural faults of a JSON document against a Struct.
+"""Validation of a JSON document against the types of a Struct.
 
-The decoder stops at the first fault. This walk goes over the same type
-information and goes on after each fault, so the two cannot disagree on
-what the fields are.
+The decoder stops at the first error. This validation uses the same type
+information but continues after each fault, so both always agree on the
+fields.
 """
 
 import collections.abc
@@ -31,7 +31,7 @@
 
 
 class _Object(dict):
-    """A JSON object that remembers which fields it had twice."""
+    """A JSON object that records its duplicate field names."""
 
     duplicate_names: tuple[str, ...] = ()
 
@@ -39,13 +39,13 @@
 def parse(
     document: bytes | str,
 ) -> tuple[typing.Any, list[faults.Fault]]:
-    """Parse a JSON document without raising.
+    """Parse a JSON document; errors are returned as faults.
 
     Args:
-        document: The JSON text.
+        document: The JSON document.
 
     Returns:
-        The value, None if it cannot be parsed, and the faults found.
+        The parsed value, or None if parsing failed, and the faults.
     """
     try:
         text = document if isinstance(document, str) else document.decode()
@@ -54,12 +54,12 @@
             object_pairs_hook=_object_of_pairs,
             parse_constant=_reject_constant,
         )
-        # Half of a surrogate pair parses, but cannot be stored.
+        # A lone surrogate can be parsed but not encoded for storage.
         json.dumps(value, ensure_ascii=False).encode()
     except (ValueError, RecursionError) as error:
         fault = faults.Fault(
             faults.ROOT,
-            f'the document is not JSON: {_parse_error_reason(error)}',
+            f'the document is not valid JSON: {_parse_error_reason(error)}',
             'write one JSON object in UTF-8',
         )
         return None, [fault]
@@ -72,8 +72,8 @@
     """Return all structural faults of a parsed document.
 
     Args:
-        value: The value that ``parse`` returned.
-        kind: The Struct that the document is to be decoded into.
+        value: The value returned by ``parse``.
+        kind: Struct type into which the document will be decoded.
     """
     try:
         node = type_nodes.type_info(kind)
@@ -83,7 +83,7 @@
             faults.Fault(
                 faults.ROOT,
                 'the document is nested too deeply',
-                'write it as the documentation shows',
+                'follow the structure in the documentation',
             )
         ]
 
@@ -99,14 +99,14 @@
 
 
 def _reject_constant(name: str) -> typing.NoReturn:
-    raise ValueError(f'{name} is no JSON number')
+    raise ValueError(f'{name} is not a JSON number')
 
 
 def _parse_error_reason(error: Exception) -> str:
     if isinstance(error, RecursionError):
         return 'it is nested too deeply'
     if isinstance(error, UnicodeError):
-        return 'it holds what is not Unicode text'
+        return 'it is not valid Unicode text'
     return str(error)
 
 
@@ -125,7 +125,7 @@
             if value not in allowed:
                 choices = ', '.join(allowed)
                 yield faults.Fault(
-                    path, 'this is none of the choices', f'use {choices}'
+                    path, 'this is not an allowed value', f'use {choices}'
                 )
         case _:
             if not _matches_type(value, node):
@@ -142,7 +142,7 @@
     for name in getattr(value, 'duplicate_names', ()):
         yield faults.Fault(
             faults.field_path(path, name),
-            'the field is given twice',
+            'the field is duplicated',
             'keep one of the two',
         )
     for name in value:
@@ -231,7 +231,7 @@
     if matches:
         remedy = f'write {matches[0]}, or remove the field'
     return faults.Fault(
-        faults.field_path(path, name), 'no such field is known', remedy
+        faults.field_path(path, name), 'this field is unknown', remedy
     )
 
 
--- a/eelgrassknot/settings/vm_faults.py
+++ b/eelgrassknot/settings/vm_faults.py
@@ -1,4 +1,4 @@
-"""Checks of what the settings of a VM say beyond their structure."""
+"""Validation of the values in the settings of a VM."""
 
 import collections.abc
 import ipaddress
@@ -22,10 +22,10 @@
 
 
 def vm_faults(document: typing.Any) -> Faults:
-    """Yield faulty addresses, keys and choices of VM settings.
+    """Yield invalid addresses, keys and options in VM settings.
 
     Args:
-        document: The parsed settings; they may be of any shape.
+        document: The parsed settings, of any structure.
     """
     for name in ('vm', 'availability_zone', 'region'):
         if ranges.get_field(document, name) == '':
@@ -48,7 +48,7 @@
     if level is not None and level not in LOG_LEVELS:
         yield faults.Fault(
             faults.field_path(faults.ROOT, 'log_level'),
-            'no such log level is known',
+            'this log level is unknown',
             f'use one of {", ".join(LOG_LEVELS)}',
         )
 
@@ -61,12 +61,13 @@
         address = ranges.string_or_none(ranges.get_field(listen, name))
         location = faults.field_path(path, name)
         yield from _address_faults(address, location)
-        # Port 0 lets the operating system choose, so it never clashes.
+        # With port 0 the operating system chooses a free port, so equal
+        # addresses do not conflict.
         if address in first_paths and not address.endswith(':0'):
             yield faults.Fault(
                 location,
                 f'{first_paths[address]} has the same address',
-                'give each listener an address of its own',
+                'give each listener a separate address',
             )
         if address is not None:
             first_paths.setdefault(address, location)
@@ -88,7 +89,7 @@
     if url is not None and not _is_http_url(url):
         yield faults.Fault(
             faults.field_path(path, 'url'),
-            'this is no HTTP URL',
+            'this is not an HTTP URL',
             'write it as "http://IP:port"',
         )
 
@@ -105,8 +106,8 @@
     if isinstance(address, str) and not _is_address(address):
         yield faults.Fault(
             path,
-            f'{faults.quote(address)} is no address',
-            'write it as "IP:port" with an IP number',
+            f'{faults.quote(address)} is not an address',
+            'write it as "IP:port" with a numeric IP address',
         )
 
 
@@ -131,7 +132,7 @@
             yield faults.Fault(
                 faults.field_path(location, 'id'),
                 f'{first_paths[key_id]} has the same id',
-                'give each key an id of its own',
+                'give each key a unique id',
             )
         if key_id is not None:
             first_paths.setdefault(key_id, faults.field_path(location, 'id'))
@@ -151,7 +152,7 @@
             text = vm_settings.read_document(file_name)
         except exceptions.SettingsError as error:
             yield faults.Fault(
-                location, error.message, 'name a file with the secret in it'
+                location, error.message, 'name a file that contains the secret'
             )
         else:
             yield from _secret_length_faults(text.strip(), location)
--- a/tests/settings/check.feature
+++ b/tests/settings/check.feature
@@ -1,4 +1,4 @@
-Feature: All faults of a document at once, each with place and remedy
+Feature: Validation reports all faults of a document with path and remedy
 
   Scenario Outline: the example of a deployment has no fault
     Given the example text of "<deployment>"
@@ -10,7 +10,7 @@
       | nadroga     |
       | lagotermica |
 
-  Scenario Outline: a broken text is refused with path and remedy
+  Scenario Outline: an invalid services text is rejected with path and remedy
     Given the example text of "nadroga"
     When its "<place>" is set to <value>
     Then the settings check names "<path>" with the remedy "<remedy>"
@@ -32,7 +32,7 @@
       | client_accounts.0.key_sha256 | "open sesame" | $.client_accounts[0].key_sha256 | write the SHA-256 of the key, never the key itself | 1 |
       | region_link               | {"price_per_gigabyte": -0.1} | $.region_link.price_per_gigabyte | write a number 0 or more | 1 |
       | services.0.objective      | {"stall": 0, "preemption": 0, "token_gap_tail": 0} | $.services[0].objective | give at least one of them a weight above zero | 1 |
-      | services.0.model          | null  | $.services[0].model                  | name the model that its engines are to hold | 1 |
+      | services.0.model          | null  | $.services[0].model                  | name the model that its engines serve | 1 |
       | services.1.model          | {"model": "m"} | $.services[1].model         | remove the model, or make the kind "engine" | 1 |
       | services.0.calls          | [{"method": "GET", "path": "/a", "idempotent": true}] | $.services[0].calls | remove the calls, or make the kind "plain" | 1 |
       | services.1.calls.0.path   | "stock" | $.services[1].calls[0].path        | write the path below the service, such as "/bookings" | 1 |
@@ -47,7 +47,7 @@
       | services.1.service        | "shop-assistant" | $.services[1].service     | keep one of the two              | 12 |
       | withheld_upstreams        | ["e1", "e1"] | $.withheld_upstreams[1]       | keep one of the two              | 1 |
 
-  Scenario: faults of all kinds are listed at once
+  Scenario: faults of all kinds are reported together
     Given the example text of "lagotermica"
     When its "services.0.kind" is set to 5
     And its "services.1.depends_on" is set to ["nobody"]
@@ -56,7 +56,7 @@
     And its "regions.0.region" is set to "guanacaste"
     Then the settings check finds 5 faults
 
-  Scenario Outline: what is no JSON is refused without a traceback
+  Scenario Outline: a document that is not valid JSON is rejected without a traceback
     Then the settings check of the bytes <bytes> names "$"
 
     Examples:
@@ -69,15 +69,15 @@
       | b'1' * 5000               |
       | b'null'                   |
 
-  Scenario: a field that is given twice is named
+  Scenario: a duplicate field is reported
     Then the settings check of the bytes b'{"services": [], "services": []}' names "$.services"
 
-  Scenario: no document gives a traceback
-    Then the settings check survives any JSON value
-    And the settings check survives any mutation of the example texts
-    And the settings check survives any bytes
+  Scenario: no document causes a traceback
+    Then the settings check handles any JSON value
+    And the settings check handles any mutation of the example texts
+    And the settings check handles any bytes
 
-  Scenario Outline: broken VM settings are refused with path and remedy
+  Scenario Outline: invalid VM settings are rejected with path and remedy
     Given the example VM settings of "nadroga"
     When their "<place>" is set to <value>
     Then the settings check names "<path>" with the remedy "<remedy>"
@@ -85,18 +85,18 @@
 
     Examples:
       | place           | value              | path              | remedy |
-      | listen.callers  | "localhost:80"     | $.listen.callers  | write it as "IP:port" with an IP number |
-      | listen.peers    | "127.0.0.1:18100"  | $.listen.peers    | give each listener an address of its own |
-      | known_peers.0   | "127.0.0.1:70000"  | $.known_peers[0]  | write it as "IP:port" with an IP number |
+      | listen.callers  | "localhost:80"     | $.listen.callers  | write it as "IP:port" with a numeric IP address |
+      | listen.peers    | "127.0.0.1:18100"  | $.listen.peers    | give each listener a separate address |
+      | known_peers.0   | "127.0.0.1:70000"  | $.known_peers[0]  | write it as "IP:port" with a numeric IP address |
       | platform.plugin | "ftp"              | $.platform.plugin | use one of http |
       | platform.url    | "127.0.0.1:9000"   | $.platform.url    | write it as "http://IP:port" |
       | peer_keys       | []                 | $.peer_keys       | add a key |
       | cursor_keys.0.secret | "short"       | $.cursor_keys[0].secret | use at least 32 bytes |
-      | cursor_keys.0.secret | {"file": "/nowhere/at/all"} | $.cursor_keys[0].secret.file | name a file with the secret in it |
+      | cursor_keys.0.secret | {"file": "/nowhere/at/all"} | $.cursor_keys[0].secret.file | name a file that contains the secret |
       | log_level       | "loud"             | $.log_level       | use one of debug, info, warning, error |
       | known_peer      | []                 | $.known_peer      | write known_peers, or remove the field |
 
-  Scenario: a fault never shows a secret
+  Scenario: faults never contain a secret
     Given the example VM settings of "nadroga"
     When their "cursor_keys.0.secret" is set to "swordfish"
     Then no fault of the settings shows "swordfish"
--- a/tests/steps/settings_check.py
+++ b/tests/steps/settings_check.py
@@ -1,4 +1,4 @@
-"""Steps on the check of texts and VM settings."""
+"""Steps for the validation of services texts and VM settings."""
 
 import ast
 import json
@@ -65,7 +65,7 @@
 
 
 def checked(document):
-    """Check a document both ways; a usable text must also decode."""
+    """Validate a document as both kinds; a valid text must also decode."""
     found = check.check_text(document)
     for fault in found:
         assert fault.path.startswith('$') and fault.reason and fault.remedy
@@ -142,7 +142,7 @@
     assert path in [fault.path for fault in checked(document)]
 
 
-@behave.then('the settings check survives any JSON value')
+@behave.then('the settings check handles any JSON value')
 def accepts_values(context):
     @DERANDOMIZED
     @hypothesis.given(VALUES)
@@ -152,7 +152,7 @@
     check_one()
 
 
-@behave.then('the settings check survives any mutation of the example texts')
+@behave.then('the settings check handles any mutation of the example texts')
 def accepts_mutations(context):
     text = msgspec.json.encode(example('nadroga').text)
     settings = msgspec.json.encode(example('nadroga').settings[0])
@@ -174,7 +174,7 @@
     check_one()
 
 
-@behave.then('the settings check survives any bytes')
+@behave.then('the settings check handles any bytes')
 def accepts_bytes(context):
     @DERANDOMIZED
     @hypothesis.given(strategies.binary(max_size=64))
@@ -194,4 +194,4 @@
     except exceptions.SettingsError as error:
         assert secret not in str(error)
         return
-    raise AssertionError('the settings were taken')
+    raise AssertionError('the settings were accepted')
