--- a/eelgrassknot/clock.py
+++ b/eelgrassknot/clock.py
@@ -1,7 +1,8 @@
-"""Clocks that count milliseconds.
+"""Clocks in milliseconds.
 
-Decision objects never read a clock: they are given the time. Only the
-shells around them hold one, so that a test can hold a ``ManualClock``.
+Classes that make decisions do not read a clock; the current time is passed
+to them. Only the code that drives them has a clock, which tests replace by
+a ``ManualClock``.
 """
 
 import time
@@ -20,14 +21,14 @@
 
 
 class Clock(typing.Protocol):
-    """Source of the time in milliseconds from an arbitrary origin."""
+    """Source of time in milliseconds since an arbitrary origin."""
 
     def now_ms(self) -> float:
         """Return the present time in milliseconds."""
 
 
 class MonotonicClock:
-    """Clock of the machine that never goes back.
+    """Monotonic clock of the machine.
 
     Example:
         >>> clock = MonotonicClock()
@@ -41,26 +42,26 @@
 
 
 class BootClock:
-    """Monotonic clock that goes on while the machine is suspended."""
+    """Monotonic clock that includes the time the machine is suspended."""
 
     def now_ms(self) -> float:
-        """Return the time since the machine's start in milliseconds."""
+        """Return the time since boot in milliseconds."""
         return time.clock_gettime(time.CLOCK_BOOTTIME) * MS_PER_SECOND
 
 
 class WallClock:
-    """Clock of the calendar, for what people and other VMs read.
+    """Wall clock for time stamps that people and other VMs read.
 
-    It may be set back; nothing that decides may lean on it.
+    The wall clock may be set back, so no decision may depend on it.
     """
 
     def now_ms(self) -> float:
-        """Return milliseconds since 1970 in UTC."""
+        """Return milliseconds since the Unix epoch."""
         return time.time() * MS_PER_SECOND
 
 
 class ManualClock:
-    """Clock that stands still until it is advanced.
+    """Clock whose time changes only when it is advanced.
 
     Example:
         >>> clock = ManualClock()
@@ -73,14 +74,14 @@
         self.time_ms = float(start_ms)
 
     def now_ms(self) -> float:
-        """Return the time that was last set, in milliseconds."""
+        """Return the present setting in milliseconds."""
         return self.time_ms
 
     def advance_ms(self, by_ms: float) -> None:
-        """Move the time forward.
+        """Advance the clock.
 
         Args:
-            by_ms: How far, in milliseconds.
+            by_ms: Duration in milliseconds.
 
         Raises:
             ValueError: If ``by_ms`` is negative.
--- a/eelgrassknot/daemon.py
+++ b/eelgrassknot/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: every entry VM runs one."""
+"""The daemon process that runs on every entry VM."""
 
 import concurrent.futures
 import faulthandler
@@ -40,13 +40,13 @@
 
 
 def create_node(settings: vm_settings.VmSettings) -> kernel_node.Node:
-    """Return a node with all registered parts, not yet started.
+    """Return an unstarted node with all registered parts.
 
     Args:
         settings: Settings of this VM.
 
     Raises:
-        PluginError: If the platform's plug-in is not known.
+        PluginError: If the platform plug-in is unknown.
     """
     for package in _PLUGIN_PACKAGES:
         registry.load_plugins(package)
@@ -69,7 +69,7 @@
 
     Args:
         node: The node to run.
-        leave: Set when the node has to leave.
+        leave: Event that is set when the node must leave.
 
     Raises:
         StartError: If a part of the node cannot start.
@@ -81,7 +81,8 @@
     leave.wait()
     node.state = states.DaemonState.DRAINING
     logs.event('draining', vm=node.settings.vm)
-    # The balancer goes on sending until it has seen that we are not ready.
+    # The balancer keeps sending requests until it detects that this VM is
+    # not ready.
     threading.Event().wait(BALANCER_DETECTION_MS / 1000)
     node.part_set.drain()
     node.part_set.stop()
@@ -94,7 +95,7 @@
         str, typer.Option(help='Path of the JSON settings of this VM.')
     ],
     check: typing.Annotated[
-        bool, typer.Option(help='Check the settings and end.')
+        bool, typer.Option(help='Check the settings and exit.')
     ] = False,
 ) -> None:
     """Run the daemon of an entry VM."""
@@ -110,7 +111,7 @@
         raise typer.Exit(1) from error
     logs.configure(loaded.log_level)
     leave = threading.Event()
-    # An operator can see where a daemon hangs: kill -USR1.
+    # SIGUSR1 dumps the stacks of all threads, to diagnose a hung daemon.
     faulthandler.register(signal.SIGUSR1, all_threads=True)
     signal.signal(signal.SIGTERM, lambda *_: leave.set())
     signal.signal(signal.SIGINT, lambda *_: leave.set())
@@ -118,19 +119,20 @@
         serve(create_node(loaded), leave)
     except exceptions.StartError as error:
         logs.error('start_failed', part=error.part, why=str(error))
-        # Threads of the parts that run would keep the process alive,
-        # which serves nobody; the platform replaces a VM that ends.
+        # Threads of parts that have started would keep a useless process
+        # alive. Exit at once, because the platform replaces the VM when its
+        # process ends.
         os._exit(1)
 
 
 def _check_settings(path: str) -> None:
-    """Print all faults of the settings, or that there are none."""
+    """Print all faults of the settings and exit with 1 if there are any."""
     found = settings_check.check_vm(vm_settings.read_document(path))
     for fault in found:
         typer.echo(str(fault), err=True)
     if found:
         raise typer.Exit(1)
-    typer.echo('the settings can be used')
+    typer.echo('the settings are valid')
 
 
 def main() -> None:
--- a/eelgrassknot/log_writer.py
+++ b/eelgrassknot/log_writer.py
@@ -1,8 +1,8 @@
-"""Writes log lines in a thread of its own, in bounded number.
+"""Non-blocking log stream with a rate limit and a writer thread.
 
-A reader that does not read makes nobody wait: lines that find the queue
-full are counted, and so are ordinary ones beyond a number a second. A
-line says how many were left out.
+A reader that stalls never blocks the callers. Lines are dropped if the
+queue is full, and ordinary lines also if they exceed the rate limit. A log
+line reports the number of dropped lines.
 """
 
 import queue
@@ -14,17 +14,18 @@
 
 QUEUE_LINES = 4_000
 RESERVED_LINES = 1_000
-"""Places in the queue that ordinary lines do not take."""
+"""Queue capacity reserved for lines that are not ordinary."""
 RATE_WINDOW_S = 1.0
 _ORDINARY = 'level=INFO'
 
 
 class LogWriter:
-    """A stream whose ``write`` never waits.
+    """A text stream whose ``write`` never blocks.
 
     Args:
-        stream: Where the lines go in the end.
-        lines_per_s: Ordinary lines that are written in a second at most.
+        stream: Underlying stream.
+        lines_per_s: Maximum number of lines per second; further ordinary
+            lines are dropped.
         clock: Returns the time in seconds.
 
     Example:
@@ -58,7 +59,7 @@
         self.thread.start()
 
     def write(self, text: str) -> int:
-        """Take a line; leave it out if there are too many."""
+        """Queue a line; drop it if there are too many."""
         ordinary = _ORDINARY in text
         with self.lock:
             second = int(self.clock() / RATE_WINDOW_S)
@@ -75,10 +76,10 @@
         return len(text)
 
     def flush(self) -> None:
-        """The thread flushes whenever it has nothing to write."""
+        """Do nothing; the writer thread flushes when its queue is empty."""
 
     def close(self, timeout_s: float = 1.0) -> None:
-        """Write what is there, but do not wait long for a reader."""
+        """Write the queued lines, waiting at most ``timeout_s``."""
         with self.lock:
             self._report_dropped()
             self._put(None)
@@ -109,5 +110,5 @@
         try:
             self.stream.write(line)
         except (OSError, ValueError):
-            # The reader has gone; there is nowhere left to say so.
+            # The reader is gone, so the loss cannot be reported.
             self.dropped += 1
--- a/eelgrassknot/logs.py
+++ b/eelgrassknot/logs.py
@@ -1,4 +1,4 @@
-"""One line of key=value pairs for each event, by way of absl."""
+"""Structured logging through absl: one line of key=value pairs per event."""
 
 import json
 import logging as standard_logging
@@ -38,15 +38,16 @@
 
     Args:
         level: One of ``debug``, ``info``, ``warning`` and ``error``.
-        stream: Where they go; standard error if None.
-        lines_per_s: If given, a thread writes the lines, at most so many
-            ordinary ones a second, and nobody waits for the stream.
+        stream: Output stream; standard error if None.
+        lines_per_s: Rate limit. If given, a separate thread writes the
+            lines, so that callers never wait for the stream.
 
     Returns:
-        The writer, to be closed at the end, if there is one.
+        The log writer, which must be closed at exit, or None without a
+        rate limit.
     """
-    # absl warns of each line that comes before its flags are parsed; the
-    # daemon takes its settings from a file and has no absl flags.
+    # absl prints a warning for each line logged before its flags are
+    # parsed. The daemon reads its settings from a file and has no flags.
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
     handler = logging.get_absl_handler()
@@ -61,16 +62,16 @@
 
 
 def set_level(level: str) -> None:
-    """Change from which level on lines are written."""
+    """Set the minimum level of the lines that are written."""
     logging.set_verbosity(level)
 
 
 def format_pairs(name: str, pairs: dict[str, object]) -> str:
-    """Return one line that names an event and its facts.
+    """Return the log line of an event.
 
     Args:
         name: Name of the event.
-        pairs: Facts, in the order in which they are to be shown.
+        pairs: Keys and values in output order.
 
     Example:
         >>> format_pairs('started', {'vm': 'nadi-1', 'why': 'a b'})
@@ -82,27 +83,27 @@
 
 
 def event(name: str, **pairs: object) -> None:
-    """Log an ordinary event."""
+    """Log an event at level info."""
     if logging.level_info():
         logging.info('%s', format_pairs(name, pairs))
 
 
 def warning(name: str, **pairs: object) -> None:
-    """Log an event that an operator should look at."""
+    """Log an event that an operator should review."""
     logging.warning('%s', format_pairs(name, pairs))
 
 
 def error(name: str, **pairs: object) -> None:
-    """Log an event that an operator has to act on."""
+    """Log an event that requires action by an operator."""
     logging.error('%s', format_pairs(name, pairs))
 
 
 def exception(name: str, caught: Exception) -> None:
-    """Log an error that no caller handles, with where it was raised.
+    """Log an unhandled exception with the place where it was raised.
 
     Args:
         name: Name of the event.
-        caught: The error.
+        caught: The exception.
     """
     frames = traceback.extract_tb(caught.__traceback__)[-TRACE_FRAMES:]
     where = ' < '.join(
@@ -114,7 +115,7 @@
 
 
 class _LineFormatter(standard_logging.Formatter):
-    """Puts the time and the level in front as pairs of their own."""
+    """Prefixes each line with its time and level as key=value pairs."""
 
     def __init__(self) -> None:
         super().__init__(
--- a/tests/daemon.feature
+++ b/tests/daemon.feature
@@ -1,8 +1,8 @@
 @processes
 Feature: The daemon as a process
 
-  Scenario: a daemon whose part cannot start ends and says why
-    Given a daemon whose address for callers is taken
+  Scenario: a daemon exits and logs the reason if a part cannot start
+    Given a daemon whose address for callers is in use
     When that daemon is started
-    Then it ends with exit code 1
+    Then it exits with code 1
     And its log names the part "callers" and a remedy
--- a/tests/logs.feature
+++ b/tests/logs.feature
@@ -1,6 +1,6 @@
-Feature: One line of key=value pairs for each event
+Feature: Log lines of key=value pairs
 
-  Scenario Outline: a value never breaks its line or its pair
+  Scenario Outline: special characters in values are quoted and escaped
     Then the log line of <value> is "<line>"
 
     Examples:
@@ -13,12 +13,12 @@
       | '\u2028'      | event=e key="\\u2028"           |
       | 3             | event=e key=3                   |
 
-  Scenario: a reader that stands still makes no caller wait
-    Given a log writer whose stream takes nothing
+  Scenario: a stalled reader does not block callers
+    Given a log writer whose stream blocks
     When 20000 ordinary lines and 100 warnings are logged
-    Then none had to wait for it and the warnings are kept
+    Then no caller was blocked and the warnings are kept
 
-  Scenario: ordinary lines beyond the number a second are left out and counted
-    Given a log writer that takes 100 lines a second
+  Scenario: ordinary lines above the rate limit are dropped and counted
+    Given a log writer limited to 100 lines a second
     When 500 ordinary lines and 20 warnings are logged in one second
     Then 100 ordinary lines, 20 warnings and one count of 400 are written
--- a/tests/steps/clock.py
+++ b/tests/steps/clock.py
@@ -1,4 +1,4 @@
-"""Steps on the clocks."""
+"""Steps for the clocks."""
 
 import behave
 
@@ -20,7 +20,7 @@
     assert context.clock.now_ms() == time_ms
 
 
-@behave.then('moving it back by {by_ms:d} ms is refused')
+@behave.then('moving it back by {by_ms:d} ms raises an error')
 def refused(context, by_ms):
     try:
         context.clock.advance_ms(-by_ms)
--- a/tests/steps/daemon.py
+++ b/tests/steps/daemon.py
@@ -1,4 +1,4 @@
-"""Steps on the daemon as a process."""
+"""Steps for the daemon as a process."""
 
 import socket
 
@@ -7,7 +7,7 @@
 from tests.coordination import deployment
 
 
-@behave.given('a daemon whose address for callers is taken')
+@behave.given('a daemon whose address for callers is in use')
 def given_taken(context):
     context.deployment = deployment.Deployment()
     context.add_cleanup(context.deployment.close)
@@ -23,7 +23,7 @@
     context.deployment.start('v0')
 
 
-@behave.then('it ends with exit code {code:d}')
+@behave.then('it exits with code {code:d}')
 def ends(context, code):
     process = context.deployment.daemons['v0'].process
     assert process.wait(deployment.LIMIT_S) == code
--- a/tests/steps/logs.py
+++ b/tests/steps/logs.py
@@ -1,4 +1,4 @@
-"""Steps on the form of log lines."""
+"""Steps for log lines and the log writer."""
 
 import ast
 import io
@@ -18,7 +18,7 @@
 
 
 class _Blocked(io.StringIO):
-    """A stream that stands still until it is released."""
+    """A stream that blocks until it is released."""
 
     def __init__(self):
         super().__init__()
@@ -29,7 +29,7 @@
         return super().write(text)
 
 
-@behave.given('a log writer whose stream takes nothing')
+@behave.given('a log writer whose stream blocks')
 def blocked_writer(context):
     context.stream = _Blocked()
     context.writer = log_writer.LogWriter(context.stream, 10**9)
@@ -45,7 +45,7 @@
         context.writer.write(f'level=WARNING n={number}\n')
 
 
-@behave.then('none had to wait for it and the warnings are kept')
+@behave.then('no caller was blocked and the warnings are kept')
 def all_taken(context):
     assert not context.stream.released.is_set()
     context.stream.released.set()
@@ -53,7 +53,7 @@
     assert context.stream.getvalue().count('level=WARNING n=') == 100
 
 
-@behave.given('a log writer that takes 100 lines a second')
+@behave.given('a log writer limited to 100 lines a second')
 def limited_writer(context):
     context.stream = io.StringIO()
     context.now_s = 10.0
