--- a/benchmarks/policy/__main__.py
+++ b/benchmarks/policy/__main__.py
@@ -14,10 +14,10 @@
 from benchmarks.policy import measures
 from benchmarks.policy import plan
 from benchmarks.policy import plots
+from benchmarks.policy import simulation
 from benchmarks.policy import table
 from benchmarks.policy import targets
 from benchmarks.policy import workload
-from benchmarks.policy import world
 
 __all__ = ['main']
 
@@ -42,7 +42,7 @@
     for part in sorted({key[0] for key in found}):
         print(table.render(part, found))
     print(decision_cost.render(costs))
-    checks = targets.verdict(found) + decision_cost.checks(costs)
+    checks = targets.evaluate(found) + decision_cost.checks(costs)
     print(table.render_checks(checks))
     if '--plots' in arguments:
         folder = pathlib.Path(arguments[arguments.index('--plots') + 1])
@@ -51,9 +51,9 @@
     return 0 if all(check.met for check in checks) else 1
 
 
-def run_one(scenario: world.Scenario) -> measures.Figures:
+def run_one(scenario: simulation.Scenario) -> measures.Figures:
     """Run a scenario in this process."""
-    return world.World(scenario).run()
+    return simulation.Simulation(scenario).run()
 
 
 def _capacities(pool) -> dict[tuple[str, int], float]:
@@ -61,7 +61,7 @@
     scenarios = [plan.capacity_scenario(*key) for key in keys]
     capacities = {}
     for key, figures in zip(keys, pool.map(run_one, scenarios)):
-        span_s = (plan.SPAN_MS - plan.FROM_MS) / MS_PER_S
+        span_s = (plan.SPAN_MS - plan.MEASURE_FROM_MS) / MS_PER_S
         tokens_per_s = sum(figures.account_tokens.values()) / span_s
         mean = workload.mean_output_tokens(workload.DEPLOYMENTS[key[0]], 1)
         capacities[key] = tokens_per_s / mean
@@ -69,7 +69,7 @@
     return capacities
 
 
-def _gather(runs: list[plan.Run], results: list) -> table.Found:
+def _gather(runs: list[plan.Run], results: list) -> table.FiguresByRun:
     several: dict[tuple, list] = collections.defaultdict(list)
     for run, figures in zip(runs, results):
         several[run.part, run.load, run.label].append(figures)
--- a/benchmarks/policy/baselines.py
+++ b/benchmarks/policy/baselines.py
@@ -19,7 +19,7 @@
 __all__ = ['BASELINES', 'Baseline', 'Oracle']
 
 RETRY_AFTER_MS = 1_000.0
-HOT_QUANTILE = 0.84
+HOT_LOAD_QUANTILE = 0.84
 PROBES = 3
 
 
@@ -31,9 +31,9 @@
         self.generator = generator
         self.upstreams: dict = {}
         self.profiles: dict = {}
-        self.placed: dict = {}
+        self.upstream_by_request: dict = {}
         self.failed: collections.defaultdict = collections.defaultdict(set)
-        self.own: collections.Counter = collections.Counter()
+        self.own_requests: collections.Counter = collections.Counter()
         self.loads: dict = {}
         self.sent_ms: dict = {}
         self.latency_ms: dict = {}
@@ -64,7 +64,7 @@
         """Return the chosen one of the upstreams."""
         raise NotImplementedError
 
-    def reported(self, name: str) -> int:
+    def reported_requests(self, name: str) -> int:
         """Return an upstream's reported requests."""
         load = self.loads.get(name)
         return 0 if load is None else load.running + load.waiting
@@ -72,8 +72,8 @@
     def _place(self, profile, now_ms: float):
         failed = self.failed[profile.request]
         usable = [u for n, u in self.upstreams.items() if n not in failed]
-        near = [u.upstream for u in usable if u.region == self.region]
-        names = near or [u.upstream for u in usable]
+        local = [u.upstream for u in usable if u.region == self.region]
+        names = local or [u.upstream for u in usable]
         if not names:
             return messages.Refuse(
                 profile.request,
@@ -81,8 +81,8 @@
                 RETRY_AFTER_MS,
             )
         chosen = self.choose(names)
-        self.own[chosen] += 1
-        self.placed[profile.request] = chosen
+        self.own_requests[chosen] += 1
+        self.upstream_by_request[profile.request] = chosen
         self.sent_ms[profile.request] = now_ms
         info = self.upstreams[chosen]
         return messages.Dispatch(
@@ -90,13 +90,13 @@
         )
 
     def _release(self, request) -> None:
-        name = self.placed.pop(request, None)
+        name = self.upstream_by_request.pop(request, None)
         self.sent_ms.pop(request, None)
         if name is not None:
-            self.own[name] -= 1
+            self.own_requests[name] -= 1
 
     def _first_token(self, request, now_ms: float) -> None:
-        name = self.placed.get(request)
+        name = self.upstream_by_request.get(request)
         if name is None:
             return
         waited_ms = now_ms - self.sent_ms[request]
@@ -121,7 +121,7 @@
     def choose(self, names):
         """Return the one with the fewest own requests."""
         self.generator.shuffle(names)
-        return min(names, key=lambda name: self.own[name])
+        return min(names, key=lambda name: self.own_requests[name])
 
 
 class ShortestReported(Baseline):
@@ -130,7 +130,7 @@
     def choose(self, names):
         """Return the one with the fewest reported requests."""
         self.generator.shuffle(names)
-        return min(names, key=self.reported)
+        return min(names, key=self.reported_requests)
 
 
 class HotCold(Baseline):
@@ -139,11 +139,11 @@
     def choose(self, names):
         """Return the cold one of lowest latency."""
         probed = self.generator.sample(names, min(PROBES, len(names)))
-        known = sorted(self.reported(name) for name in self.upstreams)
-        hot = known[int(HOT_QUANTILE * (len(known) - 1))]
-        cold = [name for name in probed if self.reported(name) <= hot]
+        known = sorted(self.reported_requests(name) for name in self.upstreams)
+        hot = known[int(HOT_LOAD_QUANTILE * (len(known) - 1))]
+        cold = [name for name in probed if self.reported_requests(name) <= hot]
         if not cold:
-            return min(probed, key=self.reported)
+            return min(probed, key=self.reported_requests)
         return min(cold, key=lambda name: self.latency_ms.get(name, 0.0))
 
 
@@ -153,7 +153,7 @@
     def choose(self, names):
         """Return the less loaded of two by this VM's own requests."""
         sampled = self.generator.sample(names, min(2, len(names)))
-        return min(sampled, key=lambda name: self.own[name])
+        return min(sampled, key=lambda name: self.own_requests[name])
 
 
 BASELINES = {
@@ -171,7 +171,7 @@
     def __init__(self, engines: dict[str, engine_model.Engine]) -> None:
         self.engines = engines
         self.upstreams: dict = {}
-        self.lines = {
+        self.queues = {
             states.Priority.INTERACTIVE: collections.deque(),
             states.Priority.BATCH: collections.deque(),
         }
@@ -182,22 +182,22 @@
         """Take in one event and return what is to be done."""
         match event:
             case messages.RequestArrived(profile):
-                self.lines[profile.priority].append(profile)
+                self.queues[profile.priority].append(profile)
             case messages.UpstreamsChanged(upstreams):
                 self.upstreams = {u.upstream: u for u in upstreams}
             case messages.RequestEnded(_) | messages.Tick():
                 pass
             case _:
                 return []
-        return self._pump(now_ms)
+        return self._dispatch_queued(now_ms)
 
-    def _pump(self, now_ms: float) -> list:
+    def _dispatch_queued(self, now_ms: float) -> list:
         actions = []
-        for line in self.lines.values():
-            while line:
-                profile = line[0]
+        for queue in self.queues.values():
+            while queue:
+                profile = queue[0]
                 if profile.deadline_ms <= now_ms:
-                    line.popleft()
+                    queue.popleft()
                     actions.append(
                         messages.Refuse(
                             profile.request,
@@ -209,7 +209,7 @@
                 chosen = self._choose(profile)
                 if chosen is None:
                     return actions
-                line.popleft()
+                queue.popleft()
                 info = self.upstreams[chosen]
                 # The shell submits before it asks again, so the engine
                 # model holds the request by the next choice.
@@ -221,7 +221,7 @@
         best = None
         best_cost = 0.0
         for name, engine in self.engines.items():
-            if engine.lost or name not in self.upstreams:
+            if engine.failed or name not in self.upstreams:
                 continue
             if engine.slowdown > 1.0:
                 continue
@@ -233,18 +233,20 @@
 
     def _cost(self, profile, engine: engine_model.Engine) -> float | None:
         total = engine.spec.kv_tokens - engine.spec.watermark_tokens
-        held = [(self.outputs[profile.request], profile.prompt_tokens)]
+        sequences = [(self.outputs[profile.request], profile.prompt_tokens)]
         for sequence in engine.sequences.values():
             produced = engine.produced(sequence)
             left = sequence.output_tokens - produced
-            held.append((left, sequence.prompt_tokens + produced))
-        held.sort(reverse=True)
+            sequences.append((left, sequence.prompt_tokens + produced))
+        sequences.sort(reverse=True)
         context = 0
         peak = 0
-        for count, (left, now) in enumerate(held, 1):
-            context += now
+        for count, (left, context_tokens) in enumerate(sequences, 1):
+            context += context_tokens
             peak = max(peak, context + count * left)
-        if peak > total and len(held) > 1:
+        if peak > total and len(sequences) > 1:
             return None
-        uncovered = profile.prompt_tokens - engine.covered(profile.prefixes)
+        uncovered = profile.prompt_tokens - engine.cached_tokens(
+            profile.prefixes
+        )
         return peak / total + uncovered / engine.spec.step_token_budget
--- a/benchmarks/policy/decision_cost.py
+++ b/benchmarks/policy/decision_cost.py
@@ -16,7 +16,7 @@
 DECISIONS = 100
 ROUNDS = 100
 US_PER_S = 1e6
-RUNNING = 60
+RUNNING_REQUESTS = 60
 TOTAL_TOKENS = 64_000
 LIVE = states.UpstreamState.LIVE
 
@@ -65,7 +65,7 @@
 
 
 def _measure_one(engines: int) -> Cost:
-    decider = _prepared(engines)
+    target = _prepare_dispatcher(engines)
     decisions = []
     ends = []
     for number in range(ROUNDS):
@@ -73,27 +73,27 @@
         names = [f'{number}/{index}' for index in range(DECISIONS)]
         arrivals = [messages.RequestArrived(_profile(n)) for n in names]
         endings = [messages.RequestEnded(name, False) for name in names]
-        took, found = _time(decider, arrivals, now_ms)
-        assert all(isinstance(a, messages.Dispatch) for a in found)
-        decisions.append(took)
-        ends.append(_time(decider, endings, now_ms)[0])
+        elapsed_us, actions = _time(target, arrivals, now_ms)
+        assert all(isinstance(a, messages.Dispatch) for a in actions)
+        decisions.append(elapsed_us)
+        ends.append(_time(target, endings, now_ms)[0])
     return Cost(engines, min(decisions), min(ends))
 
 
-def _time(decider, events: list, now_ms: float) -> tuple[float, list]:
+def _time(target, events: list, now_ms: float) -> tuple[float, list]:
     # The processor clock is read once for all events, since reading it
     # costs as much as a part of a decision.
-    handle = decider.handle
-    found = []
+    handle = target.handle
+    actions = []
     started = time.process_time()
     for event in events:
-        found += handle(event, now_ms)
-    took_s = time.process_time() - started
-    return took_s / len(events) * US_PER_S, found
+        actions += handle(event, now_ms)
+    elapsed_s = time.process_time() - started
+    return elapsed_s / len(events) * US_PER_S, actions
 
 
-def _prepared(engines: int) -> dispatcher.Dispatcher:
-    decider = dispatcher.Dispatcher('z', 'r', random.Random(1))
+def _prepare_dispatcher(engines: int) -> dispatcher.Dispatcher:
+    target = dispatcher.Dispatcher('z', 'r', random.Random(1))
     infos = tuple(
         kernel_events.UpstreamInfo(
             f'e{index}',
@@ -106,18 +106,18 @@
         )
         for index in range(engines)
     )
-    decider.handle(messages.UpstreamsChanged(infos), 0.0)
+    target.handle(messages.UpstreamsChanged(infos), 0.0)
     for info in infos:
         load = messages.EngineLoad(
             info.upstream, 0.0, 30_000, TOTAL_TOKENS, 20, 0, 0, LIVE
         )
-        decider.handle(messages.LoadReported(load), 0.0)
+        target.handle(messages.LoadReported(load), 0.0)
         digest = messages.DigestReceived('peer', info.upstream, 18, 28_000)
-        decider.handle(digest, 900.0)
-    for index in range(RUNNING):
+        target.handle(digest, 900.0)
+    for index in range(RUNNING_REQUESTS):
         profile = _profile(f'running/{index}')
-        decider.handle(messages.RequestArrived(profile), 950.0)
-    return decider
+        target.handle(messages.RequestArrived(profile), 950.0)
+    return target
 
 
 def _profile(name: str) -> messages.RequestProfile:
--- a/benchmarks/policy/engine_model.py
+++ b/benchmarks/policy/engine_model.py
@@ -13,7 +13,7 @@
 __all__ = ['Engine', 'EngineSpec', 'Progress', 'Sequence']
 
 STALL_GAP_MS = 250.0
-PREFIX_STEP_TOKENS = 64
+TOKENS_PER_PREFIX = 64
 
 
 @dataclasses.dataclass(frozen=True)
@@ -63,14 +63,14 @@
     prompt_tokens: int
     output_tokens: int
     prefixes: tuple[str, ...]
-    base: int = 0
-    to_prefill: int = 0
-    held: int = 0
+    base_tokens: int = 0
+    prefill_remaining: int = 0
+    prefill_tokens: int = 0
     joined_step: int = 0
     epoch: int = 0
     decoding: bool = False
-    left_ms: float | None = None
-    stall_mark: float = 0.0
+    preempted_ms: float | None = None
+    stall_total_at_join: float = 0.0
     stall_ms: float = 0.0
     preemptions: int = 0
 
@@ -102,7 +102,7 @@
         self.name = name
         self.spec = spec
         self.slowdown = 1.0
-        self.lost = False
+        self.failed = False
         self.now_ms = 0.0
         self.step_end_ms: float | None = None
         self.chunks: list[tuple[Sequence, int]] = []
@@ -116,7 +116,7 @@
         self.prefilling: list[Sequence] = []
         self.decoding: dict[str, Sequence] = {}
         self.finishes: list[tuple[int, int, Sequence]] = []
-        self.pushes = 0
+        self.last_epoch = 0
         self.stall_total_ms = 0.0
         self.gaps: collections.Counter = collections.Counter()
         self.preemptions = 0
@@ -133,7 +133,7 @@
             now_ms: The present time.
         """
         waiting = len(self.waiting[0]) + len(self.waiting[1])
-        if self.lost or waiting >= self.spec.max_waiting:
+        if self.failed or waiting >= self.spec.max_waiting:
             return False
         self.sequences[sequence.request] = sequence
         self.waiting[0 if sequence.urgent else 1].append(sequence)
@@ -153,14 +153,14 @@
         self.progress = []
         return found
 
-    def lose(self) -> list[Sequence]:
+    def fail(self) -> list[Sequence]:
         """End the engine; return the requests that it held."""
         held = list(self.sequences.values())
         for sequence in held:
-            sequence.base = self.produced(sequence)
+            sequence.base_tokens = self.produced(sequence)
             if sequence.decoding:
-                self._settle_stall(sequence)
-        self.lost = True
+                self._update_stall(sequence)
+        self.failed = True
         self.step_end_ms = None
         self.sequences = {}
         self.waiting = [collections.deque(), collections.deque()]
@@ -172,8 +172,8 @@
     def produced(self, sequence: Sequence) -> int:
         """Return how many tokens a request has produced."""
         if not sequence.decoding:
-            return sequence.base
-        return sequence.base + self.steps - sequence.joined_step
+            return sequence.base_tokens
+        return sequence.base_tokens + self.steps - sequence.joined_step
 
     def context(self, sequence: Sequence) -> int:
         """Return how many tokens a request holds or needs."""
@@ -183,15 +183,19 @@
         """Return a request's stall time so far in milliseconds."""
         if not sequence.decoding:
             return sequence.stall_ms
-        return sequence.stall_ms + self.stall_total_ms - sequence.stall_mark
+        return (
+            sequence.stall_ms
+            + self.stall_total_ms
+            - sequence.stall_total_at_join
+        )
 
-    def covered(self, prefixes: tuple[str, ...]) -> int:
+    def cached_tokens(self, prefixes: tuple[str, ...]) -> int:
         """Return how many tokens of a prompt the prefix cache holds."""
         count = 0
         for prefix in prefixes:
             if prefix not in self.cache:
                 break
-            count += PREFIX_STEP_TOKENS
+            count += TOKENS_PER_PREFIX
         return count
 
     def waiting_count(self) -> int:
@@ -199,7 +203,7 @@
         return len(self.waiting[0]) + len(self.waiting[1])
 
     def _begin_step(self) -> None:
-        self._make_room()
+        self._free_memory()
         self._admit()
         if not self.decoding and not self.prefilling:
             self.step_end_ms = None
@@ -211,7 +215,7 @@
         for sequence in self.prefilling:
             if budget <= 0:
                 break
-            chunk = min(budget, sequence.to_prefill)
+            chunk = min(budget, sequence.prefill_remaining)
             self.chunks.append((sequence, chunk))
             budget -= chunk
             total += chunk
@@ -238,43 +242,43 @@
             if sequence.decoding and sequence.epoch == epoch:
                 self._finish(sequence)
         for sequence, chunk in self.chunks:
-            sequence.to_prefill -= chunk
-            if sequence.to_prefill <= 0:
-                self._join(sequence)
+            sequence.prefill_remaining -= chunk
+            if sequence.prefill_remaining <= 0:
+                self._start_decoding(sequence)
         self.chunks = []
 
-    def _join(self, sequence: Sequence) -> None:
+    def _start_decoding(self, sequence: Sequence) -> None:
         self.prefilling.remove(sequence)
-        first = sequence.base == 0
+        first = sequence.base_tokens == 0
         sequence.decoding = True
-        sequence.base += 1
+        sequence.base_tokens += 1
         self.used += 1
         sequence.joined_step = self.steps
-        sequence.stall_mark = self.stall_total_ms
-        self._store(sequence.prefixes)
+        sequence.stall_total_at_join = self.stall_total_ms
+        self._cache_prefixes(sequence.prefixes)
         if first:
             self.progress.append(
                 Progress(sequence.request, self.now_ms, False, sequence)
             )
-        elif sequence.left_ms is not None:
-            gap_ms = self.now_ms - sequence.left_ms
+        elif sequence.preempted_ms is not None:
+            gap_ms = self.now_ms - sequence.preempted_ms
             self.gaps[int(gap_ms + 0.5)] += 1
             sequence.stall_ms += max(0.0, gap_ms - STALL_GAP_MS)
         self.decoding[sequence.request] = sequence
-        left = sequence.output_tokens - sequence.base
+        left = sequence.output_tokens - sequence.base_tokens
         if left <= 0:
             self._finish(sequence)
             return
-        self.pushes += 1
-        sequence.epoch = self.pushes
+        self.last_epoch += 1
+        sequence.epoch = self.last_epoch
         heapq.heappush(
             self.finishes, (self.steps + left, sequence.epoch, sequence)
         )
 
     def _finish(self, sequence: Sequence) -> None:
         self.used -= self.context(sequence)
-        self._settle_stall(sequence)
-        sequence.base = self.produced(sequence)
+        self._update_stall(sequence)
+        sequence.base_tokens = self.produced(sequence)
         sequence.decoding = False
         del self.decoding[sequence.request]
         del self.sequences[sequence.request]
@@ -282,15 +286,15 @@
             Progress(sequence.request, self.now_ms, True, sequence)
         )
 
-    def _settle_stall(self, sequence: Sequence) -> None:
-        sequence.stall_ms += self.stall_total_ms - sequence.stall_mark
-        sequence.stall_mark = self.stall_total_ms
+    def _update_stall(self, sequence: Sequence) -> None:
+        sequence.stall_ms += self.stall_total_ms - sequence.stall_total_at_join
+        sequence.stall_total_at_join = self.stall_total_ms
 
-    def _make_room(self) -> None:
+    def _free_memory(self) -> None:
         while self.used + len(self.decoding) > self.spec.kv_tokens:
-            self._preempt(self._victim())
+            self._preempt(self._choose_victim())
 
-    def _victim(self) -> Sequence:
+    def _choose_victim(self) -> Sequence:
         if self.prefilling:
             return self.prefilling[-1]
         last = None
@@ -300,12 +304,12 @@
         return last
 
     def _preempt(self, sequence: Sequence) -> None:
-        self.used -= sequence.held if not sequence.decoding else 0
+        self.used -= sequence.prefill_tokens if not sequence.decoding else 0
         if sequence.decoding:
             self.used -= self.context(sequence)
-            self._settle_stall(sequence)
-            sequence.base = self.produced(sequence)
-            sequence.left_ms = self.now_ms
+            self._update_stall(sequence)
+            sequence.base_tokens = self.produced(sequence)
+            sequence.preempted_ms = self.now_ms
             sequence.decoding = False
             del self.decoding[sequence.request]
         else:
@@ -317,29 +321,29 @@
     def _admit(self) -> None:
         spec = self.spec
         limit = spec.kv_tokens - spec.watermark_tokens
-        for line in self.waiting:
-            while line:
+        for queue in self.waiting:
+            while queue:
                 running = len(self.decoding) + len(self.prefilling)
-                sequence = line[0]
-                need = sequence.prompt_tokens + sequence.base
+                sequence = queue[0]
+                need = sequence.prompt_tokens + sequence.base_tokens
                 if running >= spec.max_running:
                     return
                 if running and self.used + need > limit:
                     return
-                line.popleft()
+                queue.popleft()
                 self.used += need
-                sequence.held = need
-                covered = self.covered(sequence.prefixes)
-                sequence.to_prefill = max(1, need - covered)
+                sequence.prefill_tokens = need
+                covered = self.cached_tokens(sequence.prefixes)
+                sequence.prefill_remaining = max(1, need - covered)
                 self.prefilling.append(sequence)
 
-    def _store(self, prefixes: tuple[str, ...]) -> None:
+    def _cache_prefixes(self, prefixes: tuple[str, ...]) -> None:
         for prefix in prefixes:
             if prefix not in self.cache:
                 self.cache_events.append((True, prefix))
             self.cache[prefix] = None
             self.cache.move_to_end(prefix)
-        room = self.spec.prefix_tokens // PREFIX_STEP_TOKENS
+        room = self.spec.prefix_tokens // TOKENS_PER_PREFIX
         while len(self.cache) > room:
             prefix, _ = self.cache.popitem(last=False)
             self.cache_events.append((False, prefix))
--- a/benchmarks/policy/measures.py
+++ b/benchmarks/policy/measures.py
@@ -10,7 +10,7 @@
 import collections
 import dataclasses
 
-__all__ = ['Figures', 'Measures', 'mean_figures']
+__all__ = ['Figures', 'FigureRecorder', 'mean_figures']
 
 GAP_QUANTILES = (0.5, 0.95, 0.99, 0.999)
 FIRST_QUANTILES = (0.5, 0.95, 0.99)
@@ -55,19 +55,19 @@
     slow_gaps_ms: tuple[float, ...]
 
 
-class Measures:
+class FigureRecorder:
     """Gathers what happens in a run.
 
     Args:
-        from_ms: Start of the measured part.
+        from_ms: Start of the measured quantile.
         until_ms: Its end.
     """
 
     def __init__(self, from_ms: float, until_ms: float) -> None:
         self.from_ms = from_ms
         self.until_ms = until_ms
-        self.first_ms: dict[str, float] = {}
-        self.within: set[str] = set()
+        self.first_token_ms: dict[str, float] = {}
+        self.within_deadline: set[str] = set()
         self.stalls_ms: list[float] = []
         self.tokens: collections.Counter = collections.Counter()
         self.good_tokens = 0
@@ -78,68 +78,74 @@
         self.ends = 0
         self.all_refusals = 0
         self.link_bytes = 0.0
-        self.before: dict[str, tuple] = {}
-        self.at_start: dict[str, int] = {}
+        self.counts_at_start: dict[str, tuple] = {}
+        self.tokens_at_start: dict[str, int] = {}
 
-    def start(self, engines) -> None:
+    def start_measuring(self, engines) -> None:
         """Note where the engines stand when measuring begins."""
         for engine in engines:
             gaps = collections.Counter(engine.gaps)
-            self.before[engine.name] = (gaps, engine.preemptions)
+            self.counts_at_start[engine.name] = (gaps, engine.preemptions)
             for sequence in engine.sequences.values():
-                self.at_start[sequence.request] = engine.produced(sequence)
+                self.tokens_at_start[sequence.request] = engine.produced(
+                    sequence
+                )
 
-    def arrived(self, request) -> None:
+    def record_arrival(self, request) -> None:
         """Count a request."""
         if request.at_ms >= self.from_ms:
             self.arrivals += 1
             self.demand[request.account] += request.output_tokens
 
-    def refused(self, request, reason, now_ms: float) -> None:
+    def record_refusal(self, request, reason, now_ms: float) -> None:
         """Count a refusal."""
         self.all_refusals += 1
         if request.at_ms < self.from_ms:
             return
         self.refusals += 1
-        patience_ms = request.deadline_ms - request.at_ms
-        if now_ms - request.at_ms <= 0.1 * patience_ms:
+        allowed_ms = request.deadline_ms - request.at_ms
+        if now_ms - request.at_ms <= 0.1 * allowed_ms:
             self.early_refusals += 1
 
-    def first_token(self, request, at_ms: float) -> None:
+    def record_first_token(self, request, at_ms: float) -> None:
         """Note when a request's first token came."""
-        self.first_ms[request.name] = at_ms - request.at_ms
+        self.first_token_ms[request.name] = at_ms - request.at_ms
         if at_ms <= request.deadline_ms:
-            self.within.add(request.name)
+            self.within_deadline.add(request.name)
 
-    def crossed(self, request, size_bytes: float) -> None:
+    def record_link_bytes(self, request, size_bytes: float) -> None:
         """Count bytes over the link between regions."""
         if request.at_ms >= self.from_ms:
             self.link_bytes += size_bytes
 
-    def ended(self, request, sequence, at_ms: float, whole: bool) -> None:
+    def record_end(self, request, sequence, at_ms: float, whole: bool) -> None:
         """Count a request that has ended."""
         self.ends += 1
         if at_ms >= self.from_ms:
-            self._count(request, sequence.base, sequence.stall_ms)
+            self._record_served(
+                request, sequence.base_tokens, sequence.stall_ms
+            )
 
-    def figures(self, world) -> Figures:
+    def figures(self, simulation) -> Figures:
         """Return the figures at the end of a run."""
-        for name, (engine, sequence, _) in world.held.items():
+        for name, (engine, sequence, _) in simulation.active.items():
             produced = engine.produced(sequence)
             if produced:
                 stall_ms = engine.stall(sequence)
-                self._count(world.requests[name], produced, stall_ms)
+                self._record_served(
+                    simulation.requests[name], produced, stall_ms
+                )
         gaps: collections.Counter = collections.Counter()
         preemptions = 0
-        for engine in world.engines.values():
-            before, count = self.before[engine.name]
+        for engine in simulation.engines.values():
+            before, count = self.counts_at_start[engine.name]
             gaps.update(engine.gaps)
             gaps.subtract(before)
             preemptions += engine.preemptions - count
         firsts = sorted(
             first_ms
-            for name, first_ms in self.first_ms.items()
-            if world.requests[name].at_ms >= self.from_ms
+            for name, first_ms in self.first_token_ms.items()
+            if simulation.requests[name].at_ms >= self.from_ms
         )
         stalls = sorted(self.stalls_ms)
         served = len(stalls)
@@ -165,21 +171,21 @@
             account_tokens=dict(self.tokens),
             account_demand=dict(self.demand),
             link_bytes=self.link_bytes,
-            slow_gaps_ms=_excess(gaps, served),
+            slow_gaps_ms=_mean_excess_ms(gaps, served),
         )
 
-    def _count(self, request, produced: int, stall_ms: float) -> None:
+    def _record_served(self, request, produced: int, stall_ms: float) -> None:
         self.stalls_ms.append(stall_ms)
-        fresh = produced - self.at_start.get(request.name, 0)
-        self.tokens[request.account] += fresh
-        if request.name in self.within:
-            self.good_tokens += fresh
+        new_tokens = produced - self.tokens_at_start.get(request.name, 0)
+        self.tokens[request.account] += new_tokens
+        if request.name in self.within_deadline:
+            self.good_tokens += new_tokens
 
 
-def mean_figures(several: list[Figures]) -> Figures:
+def mean_figures(runs: list[Figures]) -> Figures:
     """Return the mean of the figures of runs that differ in their seed."""
     fields = {
-        field.name: _mean([getattr(one, field.name) for one in several])
+        field.name: _mean([getattr(one, field.name) for one in runs])
         for field in dataclasses.fields(Figures)
     }
     return Figures(**fields)
@@ -194,27 +200,29 @@
     return sum(values) / len(values)
 
 
-def _quantile(values: list[float], part: float) -> float:
+def _quantile(values: list[float], quantile: float) -> float:
     if not values:
         return 0.0
-    return values[min(len(values) - 1, int(part * len(values)))]
+    return values[min(len(values) - 1, int(quantile * len(values)))]
 
 
 def _weighted_quantiles(counts: collections.Counter) -> tuple[float, ...]:
     total = sum(counts.values())
     found = []
-    seen = 0
+    cumulative = 0
     ordered = iter(sorted(counts.items()))
     value = 0.0
-    for part in GAP_QUANTILES:
-        while seen < part * total:
+    for quantile in GAP_QUANTILES:
+        while cumulative < quantile * total:
             value, count = next(ordered)
-            seen += count
+            cumulative += count
         found.append(float(value))
     return tuple(found)
 
 
-def _excess(counts: collections.Counter, served: int) -> tuple[float, ...]:
+def _mean_excess_ms(
+    counts: collections.Counter, served: int
+) -> tuple[float, ...]:
     return tuple(
         sum(c * max(0, gap - bound) for gap, c in counts.items())
         / max(1, served)
--- a/benchmarks/policy/plan.py
+++ b/benchmarks/policy/plan.py
@@ -3,17 +3,24 @@
 import dataclasses
 
 from benchmarks.policy import baselines
+from benchmarks.policy import simulation
 from benchmarks.policy import workload
-from benchmarks.policy import world
 from eelgrassknot.policy import placement
 
-__all__ = ['LOADS', 'OURS', 'POLICIES', 'Plan', 'Run', 'capacity_scenario']
-
-OURS = 'eelgrassknot'
-POLICIES = (*baselines.BASELINES, 'oracle', OURS)
+__all__ = [
+    'LOADS',
+    'THIS_POLICY',
+    'POLICIES',
+    'Plan',
+    'Run',
+    'capacity_scenario',
+]
+
+THIS_POLICY = 'eelgrassknot'
+POLICIES = (*baselines.BASELINES, 'oracle', THIS_POLICY)
 LOADS = (0.6, 0.85, 1.0, 1.2)
 SPAN_MS = 300_000.0
-FROM_MS = 80_000.0
+MEASURE_FROM_MS = 80_000.0
 SATURATING_RATE_PER_S = 30.0
 FLOOD_FACTOR = 8.0
 FLOOD_ACCOUNT = 'account-0'
@@ -21,15 +28,15 @@
 MIDDLE_MS = 160_000.0
 
 DISTURBANCES = {
-    'engine lost': world.Disturbance(lost_at_ms=MIDDLE_MS),
-    'engine at a third': world.Disturbance(slow_at_ms=120_000.0),
-    'reports 5 s old': world.Disturbance(report_lag_ms=5_000.0),
-    'half the cache events': world.Disturbance(cache_events_lost=0.5),
-    'longer outputs': world.Disturbance(shift_at_ms=MIDDLE_MS),
+    'engine lost': simulation.Disturbance(lost_at_ms=MIDDLE_MS),
+    'engine at a third': simulation.Disturbance(slow_at_ms=120_000.0),
+    'reports 5 s old': simulation.Disturbance(report_lag_ms=5_000.0),
+    'half the cache events': simulation.Disturbance(cache_events_lost=0.5),
+    'longer outputs': simulation.Disturbance(shift_at_ms=MIDDLE_MS),
 }
 
 # Short questions with long answers: memory fills long after admission.
-LONG_ANSWERS = world.Disturbance(
+LONG_ANSWERS = simulation.Disturbance(
     shift_at_ms=0.0, shift_factor=8.0, prompt_factor=0.1
 )
 LONG_ANSWERS_LOAD = 0.22
@@ -60,7 +67,7 @@
     part: str
     label: str
     load: float
-    scenario: world.Scenario
+    scenario: simulation.Scenario
 
 
 class Plan:
@@ -84,7 +91,7 @@
         self._flood('nadroga')
         self._ablations('nadroga')
         self._long_answers('nadroga')
-        self.runs.sort(key=lambda run: run.scenario.policy != OURS)
+        self.runs.sort(key=lambda run: run.scenario.policy != THIS_POLICY)
 
     def _add(
         self,
@@ -97,8 +104,14 @@
     ) -> None:
         for seed in SEEDS:
             rate_per_s = self.capacities[name, seed] * load
-            scenario = world.Scenario(
-                name, policy, rate_per_s, SPAN_MS, FROM_MS, seed, **more
+            scenario = simulation.Scenario(
+                name,
+                policy,
+                rate_per_s,
+                SPAN_MS,
+                MEASURE_FROM_MS,
+                seed,
+                **more,
             )
             self.runs.append(Run(part, label, load, scenario))
 
@@ -113,7 +126,7 @@
                 f'{name}, weights of',
                 other,
                 name,
-                OURS,
+                THIS_POLICY,
                 1.0,
                 objective=deployment.objective,
             )
@@ -131,10 +144,10 @@
                 )
 
     def _flood(self, name: str) -> None:
-        flood = world.Disturbance(
+        flood = simulation.Disturbance(
             flood_account=FLOOD_ACCOUNT, flood_factor=FLOOD_FACTOR
         )
-        for policy in ('two-choices', OURS):
+        for policy in ('two-choices', THIS_POLICY):
             self._add(
                 f'{name}, one account floods',
                 policy,
@@ -161,7 +174,7 @@
                 part,
                 f'without {label}',
                 name,
-                OURS,
+                THIS_POLICY,
                 LONG_ANSWERS_LOAD,
                 disturbance=LONG_ANSWERS,
                 options=options,
@@ -174,20 +187,20 @@
                 f'{name}, without',
                 label,
                 name,
-                OURS,
+                THIS_POLICY,
                 1.0,
                 options=options,
             )
 
 
-def capacity_scenario(name: str, seed: int) -> world.Scenario:
+def capacity_scenario(name: str, seed: int) -> simulation.Scenario:
     """Return the run that finds out a deployment's capacity."""
-    return world.Scenario(
+    return simulation.Scenario(
         name,
         'oracle',
         SATURATING_RATE_PER_S,
         SPAN_MS,
-        FROM_MS,
+        MEASURE_FROM_MS,
         seed,
         saturate=True,
     )
--- a/benchmarks/policy/plots.py
+++ b/benchmarks/policy/plots.py
@@ -17,7 +17,7 @@
 }
 
 
-def draw(found: table.Found, folder: pathlib.Path) -> None:
+def draw(found: table.FiguresByRun, folder: pathlib.Path) -> None:
     """Draw stall and gap tails against load for all policies.
 
     Args:
--- a/benchmarks/policy/world.py
+++ b/benchmarks/policy/simulation.py
@@ -22,16 +22,16 @@
 from eelgrassknot.settings import text as services_text
 from eelgrassknot import states
 
-__all__ = ['Disturbance', 'Scenario', 'World']
+__all__ = ['Disturbance', 'Scenario', 'Simulation']
 
-QUANTUM_MS = 10.0
+STEP_MS = 10.0
 TICK_MS = 50.0
-REPORT_EVERY_MS = 500.0
+REPORT_INTERVAL_MS = 500.0
 REPORT_LAG_MS = 250.0
-DIGEST_EVERY_MS = 250.0
+DIGEST_INTERVAL_MS = 250.0
 DIGEST_LAG_MS = 20.0
 CACHE_LAG_MS = 1_000.0
-PROGRESS_EVERY_MS = 200.0
+PROGRESS_INTERVAL_MS = 200.0
 MEMBERSHIP_LAG_MS = 3_000.0
 REGION_LATENCY_MS = 30.0
 BYTES_PER_TOKEN = region_budget.BYTES_PER_OUTPUT_TOKEN
@@ -82,7 +82,7 @@
     policy: str
     rate_per_s: float
     span_ms: float
-    from_ms: float
+    measure_from_ms: float
     seed: int
     disturbance: Disturbance = Disturbance()
     options: placement.PlacementOptions = placement.PlacementOptions()
@@ -90,7 +90,7 @@
     saturate: bool = False
 
 
-class World:
+class Simulation:
     """State of one run.
 
     Args:
@@ -104,24 +104,28 @@
         self.generator = random.Random(f'world/{scenario.seed}')
         self.infos: list[kernel_events.UpstreamInfo] = []
         self.engines: dict[str, engine_model.Engine] = {}
-        self.deciders: list = []
-        self.by_region: dict[str, list[int]] = collections.defaultdict(list)
-        self.calls: list[tuple] = []
-        self.call_count = 0
+        self.dispatchers: list = []
+        self.vms_by_region: dict[str, list[int]] = collections.defaultdict(
+            list
+        )
+        self.scheduled: list[tuple] = []
+        self.scheduled_count = 0
         self.requests: dict[str, workload.Request] = {}
-        self.vm_of: dict[str, int] = {}
-        self.held: dict[str, tuple] = {}
-        self.told: dict[str, int] = {}
-        self.under_way = 0
-        self.book = measures.Measures(scenario.from_ms, scenario.span_ms)
+        self.vm_by_request: dict[str, int] = {}
+        self.active: dict[str, tuple] = {}
+        self.reported_tokens: dict[str, int] = {}
+        self.in_transit = 0
+        self.recorder = measures.FigureRecorder(
+            scenario.measure_from_ms, scenario.span_ms
+        )
         self.oracle: baselines.Oracle | None = None
         self._make_engines()
-        self._make_deciders()
+        self._make_dispatchers()
 
     def run(self) -> measures.Figures:
         """Run to the end and return what was measured."""
         scenario = self.scenario
-        shape = workload.Shape(
+        shape = workload.WorkloadVariation(
             shift_at_ms=scenario.disturbance.shift_at_ms,
             shift_factor=scenario.disturbance.shift_factor,
             prompt_factor=scenario.disturbance.prompt_factor,
@@ -135,26 +139,26 @@
             scenario.seed,
             shape,
         )
-        self._schedule_all()
+        self._schedule_periodic()
         upcoming = iter(arrivals)
         request = next(upcoming, None)
         measuring = False
         while self.clock.now_ms() < scenario.span_ms:
-            self.clock.advance_ms(QUANTUM_MS)
+            self.clock.advance_ms(STEP_MS)
             now_ms = self.clock.now_ms()
-            if not measuring and now_ms >= scenario.from_ms:
+            if not measuring and now_ms >= scenario.measure_from_ms:
                 measuring = True
-                self.book.start(self.engines.values())
+                self.recorder.start_measuring(self.engines.values())
             for engine in self.engines.values():
                 for progress in engine.advance(now_ms):
-                    self._progress(engine, progress, now_ms)
-            while self.calls and self.calls[0][0] <= now_ms:
-                _, _, function, arguments = heapq.heappop(self.calls)
+                    self._handle_progress(engine, progress, now_ms)
+            while self.scheduled and self.scheduled[0][0] <= now_ms:
+                _, _, function, arguments = heapq.heappop(self.scheduled)
                 function(*arguments)
             while request is not None and request.at_ms <= now_ms:
-                self._arrive(request, now_ms)
+                self._handle_arrival(request, now_ms)
                 request = next(upcoming, None)
-        return self.book.figures(self)
+        return self.recorder.figures(self)
 
     def _make_engines(self) -> None:
         spec = engine_model.EngineSpec()
@@ -174,26 +178,26 @@
                     )
                 )
 
-    def _make_deciders(self) -> None:
+    def _make_dispatchers(self) -> None:
         policy = self.scenario.policy
         if policy == 'oracle':
             self.oracle = baselines.Oracle(self.engines)
         for zone, region, _, count in self.deployment.zones:
             for _ in range(count):
-                index = len(self.deciders)
-                self.by_region[region].append(index)
+                index = len(self.dispatchers)
+                self.vms_by_region[region].append(index)
                 generator = random.Random(f'{self.scenario.seed}/{index}')
-                self.deciders.append(
-                    self._decider(policy, zone, region, generator)
+                self.dispatchers.append(
+                    self._make_dispatcher(policy, zone, region, generator)
                 )
         text = self._text()
-        for decider in self.deciders:
-            count = len(self.deciders)
-            decider.handle(messages.VmCountsChanged(count), 0.0)
-            decider.handle(messages.ConfigChanged(text), 0.0)
-            decider.handle(messages.UpstreamsChanged(tuple(self.infos)), 0.0)
+        for target in self.dispatchers:
+            count = len(self.dispatchers)
+            target.handle(messages.VmCountsChanged(count), 0.0)
+            target.handle(messages.ConfigChanged(text), 0.0)
+            target.handle(messages.UpstreamsChanged(tuple(self.infos)), 0.0)
 
-    def _decider(self, policy, zone, region, generator):
+    def _make_dispatcher(self, policy, zone, region, generator):
         if self.oracle is not None:
             return self.oracle
         if policy in baselines.BASELINES:
@@ -212,7 +216,7 @@
         )
         accounts = tuple(
             services_text.ClientAccount(
-                f'account-{index}', '', weight=self.weight(index)
+                f'account-{index}', '', weight=self.account_weight(index)
             )
             for index in range(len(workload.ACCOUNT_SHARES))
         )
@@ -220,43 +224,45 @@
             self.deployment.name, (), (service,), accounts
         )
 
-    def weight(self, index: int) -> float:
+    def account_weight(self, index: int) -> float:
         """Return the weight of an account in the text."""
         return workload.ACCOUNT_SHARES[index] * 20
 
-    def _schedule_all(self) -> None:
-        count = len(self.deciders)
+    def _schedule_periodic(self) -> None:
+        count = len(self.dispatchers)
         if self.oracle is None:
             for index in range(count):
                 offset = TICK_MS * index / count
-                self._call(offset, self._tick, index)
-                offset = DIGEST_EVERY_MS * index / count
-                if isinstance(self.deciders[index], dispatcher.Dispatcher):
-                    self._call(offset, self._digest, index)
+                self._schedule(offset, self._tick, index)
+                offset = DIGEST_INTERVAL_MS * index / count
+                if isinstance(self.dispatchers[index], dispatcher.Dispatcher):
+                    self._schedule(offset, self._send_digest, index)
         else:
-            self._call(TICK_MS, self._tick, 0)
+            self._schedule(TICK_MS, self._tick, 0)
         for order, name in enumerate(self.engines):
-            offset = REPORT_EVERY_MS * order / len(self.engines)
-            self._call(offset, self._report, name)
-        self._call(PROGRESS_EVERY_MS, self._tell_progress)
+            offset = REPORT_INTERVAL_MS * order / len(self.engines)
+            self._schedule(offset, self._report_load, name)
+        self._schedule(PROGRESS_INTERVAL_MS, self._report_all_tokens)
         disturbance = self.scenario.disturbance
         first = next(iter(self.engines))
         if disturbance.lost_at_ms is not None:
-            self._call(disturbance.lost_at_ms, self._lose, first)
+            self._schedule(disturbance.lost_at_ms, self._fail_engine, first)
         if disturbance.slow_at_ms is not None:
-            self._call(disturbance.slow_at_ms, self._slow, first)
-
-    def _call(self, at_ms: float, function, *arguments) -> None:
-        self.call_count += 1
-        entry = (at_ms, self.call_count, function, arguments)
-        heapq.heappush(self.calls, entry)
-
-    def _arrive(self, request: workload.Request, now_ms: float) -> None:
-        vms = self.by_region[request.region]
-        vm = vms[int(request.draw * len(vms))]
+            self._schedule(disturbance.slow_at_ms, self._slow_engine, first)
+
+    def _schedule(self, at_ms: float, function, *arguments) -> None:
+        self.scheduled_count += 1
+        entry = (at_ms, self.scheduled_count, function, arguments)
+        heapq.heappush(self.scheduled, entry)
+
+    def _handle_arrival(
+        self, request: workload.Request, now_ms: float
+    ) -> None:
+        vms = self.vms_by_region[request.region]
+        vm = vms[int(request.vm_draw * len(vms))]
         self.requests[request.name] = request
-        self.vm_of[request.name] = vm
-        self.book.arrived(request)
+        self.vm_by_request[request.name] = vm
+        self.recorder.record_arrival(request)
         if self.oracle is not None:
             self.oracle.outputs[request.name] = request.output_tokens
         deadline_ms = request.deadline_ms
@@ -273,34 +279,36 @@
             max_tokens=None,
             deadline_ms=deadline_ms,
         )
-        self._feed(vm, messages.RequestArrived(profile), now_ms)
+        self._handle_event(vm, messages.RequestArrived(profile), now_ms)
 
-    def _feed(self, vm: int, event, now_ms: float) -> None:
-        decider = self.deciders[vm]
-        pending = collections.deque(decider.handle(event, now_ms))
+    def _handle_event(self, vm: int, event, now_ms: float) -> None:
+        target = self.dispatchers[vm]
+        pending = collections.deque(target.handle(event, now_ms))
         while pending:
-            self._act(pending.popleft(), now_ms)
+            self._apply(pending.popleft(), now_ms)
             if self.oracle is not None:
                 pending.extend(self.oracle.handle(messages.Tick(), now_ms))
 
-    def _act(self, action, now_ms: float) -> None:
+    def _apply(self, action, now_ms: float) -> None:
         match action:
-            case messages.Dispatch(request, info, crosses):
-                delay_ms = REGION_LATENCY_MS if crosses else 0.0
-                if crosses:
-                    self.under_way += 1
-                    self._call(
+            case messages.Dispatch(request, info, crosses_region):
+                delay_ms = REGION_LATENCY_MS if crosses_region else 0.0
+                if crosses_region:
+                    self.in_transit += 1
+                    self._schedule(
                         now_ms + delay_ms, self._submit, request, info, True
                     )
                 else:
                     self._submit(request, info, False)
             case messages.Refuse(request, reason):
-                self.book.refused(self.requests[request], reason, now_ms)
+                self.recorder.record_refusal(
+                    self.requests[request], reason, now_ms
+                )
 
-    def _submit(self, name: str, info, crosses: bool) -> None:
+    def _submit(self, name: str, info, crosses_region: bool) -> None:
         request = self.requests[name]
         now_ms = self.clock.now_ms()
-        self.under_way -= crosses
+        self.in_transit -= crosses_region
         engine = self.engines[info.upstream]
         sequence = engine_model.Sequence(
             name,
@@ -310,68 +318,84 @@
             request.prefixes,
         )
         if not engine.submit(sequence, now_ms):
-            vm = self.vm_of[name]
-            if engine.lost:
-                self._feed(vm, messages.UpstreamFailed(engine.name), now_ms)
+            vm = self.vm_by_request[name]
+            if engine.failed:
+                self._handle_event(
+                    vm, messages.UpstreamFailed(engine.name), now_ms
+                )
             retry = messages.RetryRequested(name, engine.name)
-            self._feed(vm, retry, now_ms)
+            self._handle_event(vm, retry, now_ms)
             return
-        self.held[name] = (engine, sequence, crosses)
-        self.told[name] = 0
-        if crosses:
-            self.book.crossed(request, request.prompt_tokens * 4)
+        self.active[name] = (engine, sequence, crosses_region)
+        self.reported_tokens[name] = 0
+        if crosses_region:
+            self.recorder.record_link_bytes(request, request.prompt_tokens * 4)
 
-    def _progress(self, engine, progress, now_ms: float) -> None:
+    def _handle_progress(self, engine, progress, now_ms: float) -> None:
         name = progress.request
         request = self.requests[name]
-        vm = self.vm_of[name]
-        crosses = self.held[name][2]
-        late_ms = REGION_LATENCY_MS if crosses else 0.0
+        vm = self.vm_by_request[name]
+        crosses_region = self.active[name][2]
+        latency_ms = REGION_LATENCY_MS if crosses_region else 0.0
         if not progress.ended:
-            self.book.first_token(request, progress.at_ms + late_ms)
-            self._feed(vm, messages.FirstTokenReceived(name), now_ms)
+            self.recorder.record_first_token(
+                request, progress.at_ms + latency_ms
+            )
+            self._handle_event(vm, messages.FirstTokenReceived(name), now_ms)
             return
-        self._tell(name, vm, progress.sequence.base, now_ms)
-        self.book.ended(request, progress.sequence, progress.at_ms, True)
-        if crosses:
-            self.book.crossed(request, request.output_tokens * BYTES_PER_TOKEN)
-        del self.held[name]
-        self._feed(vm, messages.RequestEnded(name, True), now_ms)
-
-    def _tell(self, name: str, vm: int, produced: int, now_ms: float) -> None:
-        count = produced - self.told[name]
+        self._report_tokens(name, vm, progress.sequence.base_tokens, now_ms)
+        self.recorder.record_end(
+            request, progress.sequence, progress.at_ms, True
+        )
+        if crosses_region:
+            self.recorder.record_link_bytes(
+                request, request.output_tokens * BYTES_PER_TOKEN
+            )
+        del self.active[name]
+        self._handle_event(vm, messages.RequestEnded(name, True), now_ms)
+
+    def _report_tokens(
+        self, name: str, vm: int, produced: int, now_ms: float
+    ) -> None:
+        count = produced - self.reported_tokens[name]
         if count > 0:
-            self.told[name] = produced
-            decider = self.deciders[vm]
-            decider.handle(messages.TokensProduced(name, count), now_ms)
+            self.reported_tokens[name] = produced
+            target = self.dispatchers[vm]
+            target.handle(messages.TokensProduced(name, count), now_ms)
 
-    def _tell_progress(self) -> None:
+    def _report_all_tokens(self) -> None:
         now_ms = self.clock.now_ms()
-        if isinstance(self.deciders[0], dispatcher.Dispatcher):
-            for name, (engine, sequence, _) in self.held.items():
+        if isinstance(self.dispatchers[0], dispatcher.Dispatcher):
+            for name, (engine, sequence, _) in self.active.items():
                 if sequence.decoding:
                     produced = engine.produced(sequence)
-                    self._tell(name, self.vm_of[name], produced, now_ms)
-        self._call(now_ms + PROGRESS_EVERY_MS, self._tell_progress)
+                    self._report_tokens(
+                        name, self.vm_by_request[name], produced, now_ms
+                    )
+        self._schedule(now_ms + PROGRESS_INTERVAL_MS, self._report_all_tokens)
 
     def _tick(self, vm: int) -> None:
         now_ms = self.clock.now_ms()
-        self._feed(vm, messages.Tick(), now_ms)
-        self._call(now_ms + TICK_MS, self._tick, vm)
+        self._handle_event(vm, messages.Tick(), now_ms)
+        self._schedule(now_ms + TICK_MS, self._tick, vm)
 
-    def _digest(self, vm: int) -> None:
+    def _send_digest(self, vm: int) -> None:
         now_ms = self.clock.now_ms()
-        announced = self.deciders[vm].announcement(now_ms)
-        self._call(now_ms + DIGEST_LAG_MS, self._hear, vm, announced)
-        self._call(now_ms + DIGEST_EVERY_MS, self._digest, vm)
+        announcement = self.dispatchers[vm].announcement(now_ms)
+        self._schedule(
+            now_ms + DIGEST_LAG_MS, self._deliver_digest, vm, announcement
+        )
+        self._schedule(now_ms + DIGEST_INTERVAL_MS, self._send_digest, vm)
 
-    def _hear(self, vm: int, announced: messages.Announcement) -> None:
+    def _deliver_digest(
+        self, vm: int, announcement: messages.Announcement
+    ) -> None:
         now_ms = self.clock.now_ms()
-        for other, decider in enumerate(self.deciders):
+        for other, target in enumerate(self.dispatchers):
             if other == vm:
                 continue
-            for share in announced.upstreams:
-                decider.handle(
+            for share in announcement.upstreams:
+                target.handle(
                     messages.DigestReceived(
                         f'vm-{vm}',
                         share.upstream,
@@ -381,12 +405,12 @@
                     now_ms,
                 )
 
-    def _report(self, name: str) -> None:
+    def _report_load(self, name: str) -> None:
         now_ms = self.clock.now_ms()
         engine = self.engines[name]
-        self._call(now_ms + REPORT_EVERY_MS, self._report, name)
+        self._schedule(now_ms + REPORT_INTERVAL_MS, self._report_load, name)
         self._send_cache_events(engine, now_ms)
-        if engine.lost:
+        if engine.failed:
             return
         load = messages.EngineLoad(
             upstream=name,
@@ -400,7 +424,7 @@
         )
         lag_ms = self.scenario.disturbance.report_lag_ms
         event = messages.LoadReported(load)
-        self._call(now_ms + lag_ms, self._tell_all, event)
+        self._schedule(now_ms + lag_ms, self._broadcast, event)
 
     def _send_cache_events(self, engine, now_ms: float) -> None:
         share = self.scenario.disturbance.cache_events_lost
@@ -417,36 +441,36 @@
             tuple(prefix for stored, prefix in seen if stored),
             tuple(prefix for stored, prefix in seen if not stored),
         )
-        self._call(now_ms + CACHE_LAG_MS, self._tell_all, event)
+        self._schedule(now_ms + CACHE_LAG_MS, self._broadcast, event)
 
-    def _tell_all(self, event) -> None:
+    def _broadcast(self, event) -> None:
         now_ms = self.clock.now_ms()
         if self.oracle is not None:
-            self._feed(0, event, now_ms)
+            self._handle_event(0, event, now_ms)
             return
-        for vm in range(len(self.deciders)):
-            self._feed(vm, event, now_ms)
+        for vm in range(len(self.dispatchers)):
+            self._handle_event(vm, event, now_ms)
 
-    def _slow(self, name: str) -> None:
+    def _slow_engine(self, name: str) -> None:
         self.engines[name].slowdown = SLOW_FACTOR
 
-    def _lose(self, name: str) -> None:
+    def _fail_engine(self, name: str) -> None:
         now_ms = self.clock.now_ms()
         engine = self.engines[name]
-        for sequence in engine.lose():
+        for sequence in engine.fail():
             request = self.requests[sequence.request]
-            vm = self.vm_of[sequence.request]
-            del self.held[sequence.request]
-            self._feed(vm, messages.UpstreamFailed(name), now_ms)
-            if sequence.base == 0:
+            vm = self.vm_by_request[sequence.request]
+            del self.active[sequence.request]
+            self._handle_event(vm, messages.UpstreamFailed(name), now_ms)
+            if sequence.base_tokens == 0:
                 event = messages.RetryRequested(sequence.request, name)
             else:
-                self.book.ended(request, sequence, now_ms, False)
+                self.recorder.record_end(request, sequence, now_ms, False)
                 event = messages.RequestEnded(sequence.request, False)
-            self._feed(vm, event, now_ms)
+            self._handle_event(vm, event, now_ms)
         left = tuple(info for info in self.infos if info.upstream != name)
         event = messages.UpstreamsChanged(left)
         if self.oracle is not None:
-            self._tell_all(event)
+            self._broadcast(event)
         else:
-            self._call(now_ms + MEMBERSHIP_LAG_MS, self._tell_all, event)
+            self._schedule(now_ms + MEMBERSHIP_LAG_MS, self._broadcast, event)
--- a/benchmarks/policy/table.py
+++ b/benchmarks/policy/table.py
@@ -3,9 +3,9 @@
 from benchmarks.policy import measures
 from benchmarks.policy import targets
 
-__all__ = ['Found', 'render', 'render_checks']
+__all__ = ['FiguresByRun', 'render', 'render_checks']
 
-Found = dict[tuple[str, float, str], measures.Figures]
+FiguresByRun = dict[tuple[str, float, str], measures.Figures]
 
 HEAD = (
     f'{"load":>5} {"policy":20} {"stall":>6} {"p99":>6} {">100":>5} '
@@ -15,7 +15,7 @@
 )
 
 
-def render(part: str, found: Found) -> str:
+def render(part: str, found: FiguresByRun) -> str:
     """Return the table of one part.
 
     Args:
--- a/benchmarks/policy/targets.py
+++ b/benchmarks/policy/targets.py
@@ -7,9 +7,9 @@
 from benchmarks.policy import measures
 from benchmarks.policy import workload
 
-__all__ = ['Check', 'Verdict', 'verdict']
+__all__ = ['Check', 'Checks', 'evaluate']
 
-OURS = 'eelgrassknot'
+THIS_POLICY = 'eelgrassknot'
 SMALL_ACCOUNTS = frozenset(f'account-{index}' for index in range(3, 10))
 
 STALL_SHARE = 0.25
@@ -46,19 +46,19 @@
         return self.measured <= self.bound
 
 
-Verdict = list[Check]
+Checks = list[Check]
 
 
 def _against_baselines(
-    where: str,
+    label: str,
     policy: measures.Figures,
     rules: list[measures.Figures],
     oracle: measures.Figures,
-) -> Verdict:
+) -> Checks:
     """Return the checks at 85 to 100 percent of capacity.
 
     Args:
-        where: Name of the runs.
+        label: Name of the runs.
         policy: Figures of the policy.
         rules: Figures of the baselines.
         oracle: Figures of the oracle.
@@ -73,28 +73,28 @@
     goodput = max(rule.goodput_per_s for rule in rules)
     return [
         Check(
-            f'{where}: mean stall, ms',
+            f'{label}: mean stall, ms',
             policy.stall_mean_ms,
             STALL_SHARE * stall,
         ),
         Check(
-            f'{where}: preemptions per 1,000',
+            f'{label}: preemptions per 1,000',
             policy.preemptions_per_1000,
             PREEMPTION_SHARE * preemptions,
         ),
         Check(
-            f'{where}: token gap p99, ms',
+            f'{label}: token gap p99, ms',
             policy.gap_ms[GAP_P99],
             GAP_SHARE * gap,
         ),
         Check(
-            f'{where}: goodput, tokens/s',
+            f'{label}: goodput, tokens/s',
             policy.goodput_per_s,
             GOODPUT_SHARE * goodput,
             at_least=True,
         ),
         Check(
-            f'{where}: mean stall against the oracle, ms',
+            f'{label}: mean stall against the oracle, ms',
             policy.stall_mean_ms,
             ORACLE_SHARE * oracle.stall_mean_ms,
         ),
@@ -102,18 +102,18 @@
 
 
 def _overload(
-    where: str, at_100: measures.Figures, at_120: measures.Figures
-) -> Verdict:
+    label: str, at_100: measures.Figures, at_120: measures.Figures
+) -> Checks:
     """Return the checks at 120 percent of capacity."""
     return [
         Check(
-            f'{where}: goodput at 120 percent, tokens/s',
+            f'{label}: goodput at 120 percent, tokens/s',
             at_120.goodput_per_s,
             OVERLOAD_GOODPUT_SHARE * at_100.goodput_per_s,
             at_least=True,
         ),
         Check(
-            f'{where}: refusals that come early, share',
+            f'{label}: refusals that come early, share',
             at_120.refused_early_share,
             0.5,
             at_least=True,
@@ -121,28 +121,30 @@
     ]
 
 
-def verdict(found: dict) -> Verdict:
+def evaluate(found: dict) -> Checks:
     """Return all checks.
 
     Args:
         found: Figures by (part, load, label).
     """
-    made: Verdict = []
+    checks: Checks = []
     for name in workload.DEPLOYMENTS:
         for load in (0.85, 1.0):
             rules = [found[name, load, rule] for rule in baselines.BASELINES]
-            made += _against_baselines(
+            checks += _against_baselines(
                 f'{name} at {load:.0%}',
-                found[name, load, OURS],
+                found[name, load, THIS_POLICY],
                 rules,
                 found[name, load, 'oracle'],
             )
-        made += _overload(name, found[name, 1.0, OURS], found[name, 1.2, OURS])
-        made += _objectives(name, found)
-    return made + _flood(found)
+        checks += _overload(
+            name, found[name, 1.0, THIS_POLICY], found[name, 1.2, THIS_POLICY]
+        )
+        checks += _objectives(name, found)
+    return checks + _flood(found)
 
 
-def _objectives(name: str, found: dict) -> Verdict:
+def _objectives(name: str, found: dict) -> Checks:
     part = f'{name}, weights of'
     stall_weights = found[part, 1.0, 'nadroga']
     tail_weights = found[part, 1.0, 'lagotermica']
@@ -160,9 +162,9 @@
     ]
 
 
-def _flood(found: dict) -> Verdict:
-    flooded = found['nadroga, one account floods', 0.85, OURS]
-    usual = found['nadroga', 0.85, OURS]
+def _flood(found: dict) -> Checks:
+    flooded = found['nadroga, one account floods', 0.85, THIS_POLICY]
+    usual = found['nadroga', 0.85, THIS_POLICY]
     return [
         Check(
             "small accounts' served share of their demand in a flood, "
--- a/benchmarks/policy/workload.py
+++ b/benchmarks/policy/workload.py
@@ -11,7 +11,7 @@
     'DEPLOYMENTS',
     'Deployment',
     'Request',
-    'Shape',
+    'WorkloadVariation',
     'mean_output_tokens',
     'requests',
 ]
@@ -97,11 +97,11 @@
     prefixes: tuple[str, ...]
     deadline_ms: float
     region: str
-    draw: float
+    vm_draw: float
 
 
 @dataclasses.dataclass(frozen=True)
-class Shape:
+class WorkloadVariation:
     """How a workload departs from the usual one.
 
     Attributes:
@@ -124,7 +124,7 @@
     rate_per_s: float,
     span_ms: float,
     seed: int,
-    shape: Shape,
+    shape: WorkloadVariation,
 ) -> list[Request]:
     """Return the requests of one run, in order of time.
 
@@ -145,7 +145,7 @@
         extra = shares[index] * (shape.flood_factor - 1.0)
         shares[index] += extra
         rate_per_s *= 1.0 + extra
-    made = []
+    found = []
     now_ms = 0.0
     extra_in_burst = BURST_MS / BURST_EVERY_MS * (BURST_FACTOR - 1.0)
     quiet_rate = rate_per_s / (1.0 + extra_in_burst)
@@ -154,10 +154,10 @@
         rate = quiet_rate * (BURST_FACTOR if in_burst else 1.0)
         now_ms += generator.expovariate(rate) * 1_000.0
         if now_ms >= span_ms:
-            return made
+            return found
         account = generator.choices(names, shares)[0]
-        made.append(
-            _request(deployment, len(made), now_ms, account, generator, shape)
+        found.append(
+            _request(deployment, len(found), now_ms, account, generator, shape)
         )
 
 
@@ -178,7 +178,7 @@
     now_ms: float,
     account: str,
     generator: random.Random,
-    shape: Shape,
+    shape: WorkloadVariation,
 ) -> Request:
     median = deployment.median_tokens
     if shape.shift_at_ms is not None and now_ms >= shape.shift_at_ms:
@@ -191,8 +191,8 @@
     template = generator.randrange(TEMPLATES_PER_ACCOUNT)
     batch = generator.random() < BATCH_SHARE
     deadline_ms = BATCH_DEADLINE_MS if batch else INTERACTIVE_DEADLINE_MS
-    near = generator.random() < _first_region_share(deployment)
-    region = deployment.zones[0 if near else -1][1]
+    in_first_region = generator.random() < _first_region_share(deployment)
+    region = deployment.zones[0 if in_first_region else -1][1]
     prompt = int((TEMPLATE_TOKENS + own) * shape.prompt_factor) + 1
     return Request(
         name=f'r{index}',
@@ -206,16 +206,16 @@
         prefixes=_prefixes(index, account, template, prompt),
         deadline_ms=now_ms + deadline_ms,
         region=region,
-        draw=generator.random(),
+        vm_draw=generator.random(),
     )
 
 
 def _output_tokens(median: float, generator: random.Random) -> int:
     if generator.random() < TAIL_SHARE:
-        drawn = TAIL_FROM_TOKENS * generator.paretovariate(TAIL_ALPHA)
+        length = TAIL_FROM_TOKENS * generator.paretovariate(TAIL_ALPHA)
     else:
-        drawn = generator.lognormvariate(math.log(median), 1.0)
-    return max(2, min(MAX_OUTPUT_TOKENS, int(drawn)))
+        length = generator.lognormvariate(math.log(median), 1.0)
+    return max(2, min(MAX_OUTPUT_TOKENS, int(length)))
 
 
 def _first_region_share(deployment: Deployment) -> float:
@@ -227,8 +227,8 @@
 def _prefixes(
     index: int, account: str, template: int, prompt_tokens: int
 ) -> tuple[str, ...]:
-    whole = prompt_tokens // TOKENS_PER_PREFIX
-    shared = min(TEMPLATE_TOKENS // TOKENS_PER_PREFIX, whole)
+    prefix_count = prompt_tokens // TOKENS_PER_PREFIX
+    shared = min(TEMPLATE_TOKENS // TOKENS_PER_PREFIX, prefix_count)
     common = [f'{account}/{template}/{k}' for k in range(shared)]
-    own = [f'r{index}/{k}' for k in range(shared, whole)]
+    own = [f'r{index}/{k}' for k in range(shared, prefix_count)]
     return tuple(common + own)
--- a/tests/steps/policy_crowded.py
+++ b/tests/steps/policy_crowded.py
@@ -2,7 +2,7 @@
 
 import behave
 
-from benchmarks.policy import world
+from benchmarks.policy import simulation
 
 FROM_SHARE = 0.25
 SEED = 3
@@ -18,12 +18,12 @@
     context.deployment = deployment
     context.rate = float(rate)
     context.span_ms = span_s * 1_000.0
-    context.disturbance = world.Disturbance()
+    context.disturbance = simulation.Disturbance()
 
 
 @behave.given('an engine is lost after {after_s:d} s')
 def engine_lost(context, after_s):
-    context.disturbance = world.Disturbance(lost_at_ms=after_s * 1_000.0)
+    context.disturbance = simulation.Disturbance(lost_at_ms=after_s * 1_000.0)
 
 
 @behave.when('they run under "{first}" and under "{second}"')
@@ -38,8 +38,8 @@
 
 
 def run(context, policy):
-    context.world = world.World(
-        world.Scenario(
+    context.simulation = simulation.Simulation(
+        simulation.Scenario(
             context.deployment,
             policy,
             context.rate,
@@ -49,7 +49,7 @@
             disturbance=context.disturbance,
         )
     )
-    return context.world.run()
+    return context.simulation.run()
 
 
 @behave.then("the second has at most a quarter of the first's preemptions")
@@ -77,17 +77,19 @@
 
 @behave.then('every request has ended, is running, is queued or was refused')
 def none_forgotten(context):
-    found = context.world
+    found = context.simulation
     waiting = sum(
         pool.queue.size
-        for decider in found.deciders
-        for pool in decider.pools.values()
+        for dispatcher in found.dispatchers
+        for pool in dispatcher.pools.values()
     )
-    accounted = found.book.ends + len(found.held) + waiting
-    accounted += found.book.all_refusals + found.under_way
+    accounted = found.recorder.ends + len(found.active) + waiting
+    accounted += found.recorder.all_refusals + found.in_transit
     assert accounted == len(found.requests), (accounted, len(found.requests))
-    profiles = sum(len(decider.profiles) for decider in found.deciders)
-    assert profiles == len(found.held) + waiting + found.under_way
+    profiles = sum(
+        len(dispatcher.profiles) for dispatcher in found.dispatchers
+    )
+    assert profiles == len(found.active) + waiting + found.in_transit
 
 
 @behave.then('both runs have the same results')
