--- a/eelgrassknot/entry.py
+++ b/eelgrassknot/entry.py
@@ -70,33 +70,39 @@
         self.dialect = dialect
         self.generator = random.Random(ids.random_id())
         self.loop = loops.EventLoop(clocks.BootClock())
-        book = health.HealthBook()
+        upstream_health = health.HealthBook()
         region = ids.RegionId(settings.region)
-        self.desk = engine_scheduler.EngineDesk(self.loop, region, book)
-        self.plain_pool = plain.PlainPool(region, self.generator, book)
-        self.knowledge = replicated_state.Knowledge(
+        self.scheduler = engine_scheduler.EngineScheduler(
+            self.loop, region, upstream_health
+        )
+        self.plain_pool = plain.PlainPool(
+            region, self.generator, upstream_health
+        )
+        self.replicated_state = replicated_state.ReplicatedState(
             settings, dialect, self.loop, self.generator, self
         )
         self.context = works.Context(
             loop=self.loop,
-            links=upstream_connection.UpstreamLinks(self.loop),
+            connections=upstream_connection.ConnectionPool(self.loop),
             dialect=dialect,
             generator=self.generator,
-            book=book,
+            health=upstream_health,
             plain_pool=self.plain_pool,
-            desk=self.desk,
+            scheduler=self.scheduler,
             retry_ratio=settings.rules.retry_ratio,
             retry_burst=self._retry_burst,
         )
         self.forwarder = forwarders.Forwarder(
-            self.context, self.knowledge.access_book, self.generator
+            self.context, self.replicated_state.authenticator, self.generator
+        )
+        self.peer_load = peer_load.PeerLoad(
+            self.scheduler, self.plain_pool, self.loop
         )
-        self.tally = peer_load.PeerTally(self.desk, self.plain_pool, self.loop)
-        self.news = load_publisher.PeerNews(
-            self.knowledge, self.tally, self.loop
+        self.load_publisher = load_publisher.LoadPublisher(
+            self.replicated_state, self.peer_load, self.loop
         )
         self.zone_digests = zone_digests.ZoneDigests(
-            self.knowledge, self.tally, self.loop
+            self.replicated_state, self.peer_load, self.loop
         )
         self.was_ready = False
         self.drain_until_ms: float | None = None
@@ -107,17 +113,19 @@
         """Whether the balancer may send callers here."""
         return (
             self.forwarder.state is not None
-            and self.knowledge.is_complete
+            and self.replicated_state.is_complete
             and not self.forwarder.draining
-            and self.knowledge.access_book.is_current(self.loop.now_ms())
+            and self.replicated_state.authenticator.is_current(
+                self.loop.now_ms()
+            )
         )
 
-    def tell_ready(self) -> bool:
+    def check_ready(self) -> bool:
         """Return whether this VM is ready, and log it when that changes."""
         ready = self.is_ready
         if ready != self.was_ready:
             self.was_ready = ready
-            book = self.knowledge.access_book
+            authenticator = self.replicated_state.authenticator
             logs.event(
                 'ready' if ready else 'not_ready',
                 state_version=(
@@ -125,8 +133,8 @@
                     if self.forwarder.state
                     else None
                 ),
-                upstreams=len(self.knowledge.directory.upstreams),
-                known_age_ms=book.age_ms(self.loop.now_ms()),
+                upstreams=len(self.replicated_state.directory.upstreams),
+                known_age_ms=authenticator.age_ms(self.loop.now_ms()),
                 draining=self.forwarder.draining,
             )
         return ready
@@ -143,7 +151,7 @@
                 listen.readiness,
                 functools.partial(
                     caller_connection.CallerConnection,
-                    _OperatorsServer(self),
+                    _AdminServer(self),
                 ),
             ),
             connections.Listener(
@@ -151,12 +159,12 @@
                 listen.metrics,
                 functools.partial(
                     caller_connection.CallerConnection,
-                    _OperatorsServer(self),
+                    _AdminServer(self),
                 ),
             ),
         ]
-        self.knowledge.start()
-        self.news.start()
+        self.replicated_state.start()
+        self.load_publisher.start()
         self.zone_digests.start()
         logs.event('started', vm=self.settings.vm)
         self.loop.run()
@@ -168,7 +176,10 @@
         VMs that were heard of once count for good: one that is cut off
         may still be serving.
         """
-        vms = max(ASSUMED_VMS, len(self.knowledge.board.roster.heard_ms) + 1)
+        vms = max(
+            ASSUMED_VMS,
+            len(self.replicated_state.peers.membership.last_contact_ms) + 1,
+        )
         return self.settings.rules.retry_burst / vms
 
     def drain(self) -> None:
@@ -176,9 +187,9 @@
         if self.forwarder.draining:
             return
         now_ms = self.loop.now_ms()
-        logs.event('draining', in_hand=self.forwarder.in_hand)
+        logs.event('draining', in_hand=self.forwarder.active_requests)
         self.forwarder.draining = True
-        self.news.leaving = True
+        self.load_publisher.leaving = True
         grace_ms = self.settings.rules.grace_s * clocks.MS_PER_SECOND
         self.drain_until_ms = now_ms + grace_ms - GRACE_RESERVE_MS
         self.loop.call_later(
@@ -187,10 +198,10 @@
 
     def _drain_step(self) -> None:
         self.forwarder.close_idle()
-        in_hand = self.forwarder.in_hand
+        in_hand = self.forwarder.active_requests
         if in_hand == 0 or self.loop.now_ms() >= self.drain_until_ms:
             logs.event('drained', in_hand=in_hand)
-            self.forwarder.break_off('grace_over')
+            self.forwarder.abort_active('grace_over')
             self.loop.stop()
             return
         self.loop.call_later(DRAIN_STEP_MS, self._drain_step)
@@ -201,7 +212,7 @@
 
     def state_changed(self, state: model.DeploymentState) -> None:
         """Put a state in force."""
-        self.forwarder.adopt(state)
+        self.forwarder.apply_state(state)
 
     def upstreams_changed(
         self, directory: upstream_directory.UpstreamDirectory
@@ -211,31 +222,37 @@
         if self.forwarder.state is not None:
             services = self.forwarder.state.services
         self.plain_pool.upstreams = dict(directory.upstreams)
-        self.desk.replace(
+        self.scheduler.update_engines(
             dict(directory.upstreams), services, directory.warm_until_ms
         )
 
     def upstream_leaving(self, upstream: str) -> None:
         """Have streams go on elsewhere."""
-        self.desk.upstream_leaving(upstream)
+        self.scheduler.upstream_leaving(upstream)
 
-    def peer_told(self, vm: ids.VmId, news: messages.EntryNews) -> None:
+    def peer_load_received(
+        self, vm: ids.VmId, message: messages.EntryNews
+    ) -> None:
         """Count what a peer has at each upstream."""
-        self.zone_digests.heard_directly(news.availability_zone)
-        self.tally.take(('vm', vm), news)
+        self.zone_digests.record_direct_contact(message.availability_zone)
+        self.peer_load.update(('vm', vm), message)
 
-    def zone_told(self, vm: ids.VmId, news: messages.ZoneNews) -> None:
+    def zone_load_received(
+        self, vm: ids.VmId, message: messages.ZoneNews
+    ) -> None:
         """Count what another zone has at each upstream."""
-        self.zone_digests.take(vm, news)
+        self.zone_digests.receive(vm, message)
 
     def settings_changed(self, settings: entry_settings.EntrySettings) -> None:
         """Put the rules of changed settings in force."""
         self.settings = settings
-        self.knowledge.access_book.revoke_ms = settings.rules.revoke_ms
+        self.replicated_state.authenticator.revoke_ms = (
+            settings.rules.revoke_ms
+        )
         logs.set_level(settings.log_level)
 
 
-class _OperatorsServer:
+class _AdminServer:
     """Answers the balancer's question and the metrics' reader."""
 
     def __init__(self, daemon: EntryDaemon) -> None:
@@ -248,17 +265,19 @@
         """Answer at once."""
         path = exchange.request.target.split(b'?')[0]
         if path == self.daemon.dialect.readiness_path:
-            status = 200 if self.daemon.tell_ready() else 503
+            status = 200 if self.daemon.check_ready() else 503
             exchange.respond(status, [], b'')
         elif path == b'/metrics':
             daemon = self.daemon
-            metrics.IN_HAND.set(daemon.forwarder.in_hand)
-            metrics.WAITING.set(len(daemon.desk.queue.waiting))
+            metrics.REQUESTS_IN_PROGRESS.set(daemon.forwarder.active_requests)
+            metrics.STREAMS_WAITING.set(len(daemon.scheduler.queue.waiting))
             exchange.respond(200, [], prometheus_client.generate_latest())
         else:
             exchange.respond(404, [], b'')
 
-    def forget(self, connection: caller_connection.CallerConnection) -> None:
+    def connection_closed(
+        self, connection: caller_connection.CallerConnection
+    ) -> None:
         """Nothing is kept of a connection."""
 
 
--- a/eelgrassknot/forwarding/access.py
+++ b/eelgrassknot/forwarding/access.py
@@ -11,9 +11,9 @@
 from eelgrassknot.forwarding import model
 from eelgrassknot import ids
 
-__all__ = ['AccessBook', 'Standing', 'StoreClock']
+__all__ = ['KeyAuthenticator', 'KeyStatus', 'StoreClock']
 
-REVOKE_MARGIN_MS = 300.0
+REVOCATION_MARGIN_MS = 300.0
 """Part of the revocation bound that is kept in reserve; ms. Covers the
 time between the check and the sending of a request."""
 NEVER_MS = float('-inf')
@@ -34,7 +34,7 @@
     """
 
     def __init__(self) -> None:
-        self.ahead_ms: float | None = None
+        self.offset_ms: float | None = None
 
     def observe(
         self, sent_ms: float, received_ms: float, store_ms: float
@@ -46,33 +46,33 @@
             received_ms: When its answer came, on this VM's clock.
             store_ms: The store's time in the answer.
         """
-        highest = store_ms - sent_ms
-        lowest = store_ms - received_ms
-        if self.ahead_ms is None or highest < self.ahead_ms:
-            self.ahead_ms = highest
-        elif lowest > self.ahead_ms:
+        highest_ms = store_ms - sent_ms
+        lowest_ms = store_ms - received_ms
+        if self.offset_ms is None or highest_ms < self.offset_ms:
+            self.offset_ms = highest_ms
+        elif lowest_ms > self.offset_ms:
             # The store's clock has jumped, so earlier bounds are void.
-            self.ahead_ms = highest
+            self.offset_ms = highest_ms
 
     def local_ms(self, store_ms: float) -> float:
         """Return the earliest time here for a time of the store's clock.
 
         Minus infinity if no call has been answered yet.
         """
-        if self.ahead_ms is None:
+        if self.offset_ms is None:
             return NEVER_MS
-        return store_ms - self.ahead_ms
+        return store_ms - self.offset_ms
 
 
-class Standing(enum.Enum):
+class KeyStatus(enum.Enum):
     """What a key is worth now."""
 
-    OPEN = 'open'
+    VALID = 'open'
     UNKNOWN_KEY = 'unknown_key'
     OUT_OF_DATE = 'out_of_date'
 
 
-class AccessBook:
+class KeyAuthenticator:
     """Keys of the newest state, and the time as of which it is known.
 
     Args:
@@ -85,9 +85,9 @@
     def __init__(self, revoke_ms: float | None) -> None:
         self.revoke_ms = revoke_ms
         self.accounts: dict[str, model.Account] = {}
-        self.known_ms = NEVER_MS
+        self.confirmed_ms = NEVER_MS
 
-    def replace(self, accounts: tuple[model.Account, ...]) -> None:
+    def replace_accounts(self, accounts: tuple[model.Account, ...]) -> None:
         """Put the accounts of a newer state in force."""
         self.accounts = {
             key: account for account in accounts for key in account.keys
@@ -95,24 +95,24 @@
 
     def confirm(self, as_of_ms: float) -> None:
         """Take in that the state is the newest as of a time."""
-        self.known_ms = max(self.known_ms, as_of_ms)
+        self.confirmed_ms = max(self.confirmed_ms, as_of_ms)
 
     def is_current(self, now_ms: float) -> bool:
         """Return whether keys may be opened now."""
         if self.revoke_ms is None:
             return True
-        age_ms = now_ms - self.known_ms
-        return age_ms < self.revoke_ms - REVOKE_MARGIN_MS
+        age_ms = now_ms - self.confirmed_ms
+        return age_ms < self.revoke_ms - REVOCATION_MARGIN_MS
 
     def age_ms(self, now_ms: float) -> float | None:
         """Return how old what is known is, or None if nothing is."""
-        if self.known_ms == NEVER_MS:
+        if self.confirmed_ms == NEVER_MS:
             return None
-        return round(now_ms - self.known_ms, 1)
+        return round(now_ms - self.confirmed_ms, 1)
 
-    def judge(
+    def authenticate(
         self, key: str | None, now_ms: float
-    ) -> tuple[Standing, model.Account | None]:
+    ) -> tuple[KeyStatus, model.Account | None]:
         """Return what a key is worth and the account that holds it.
 
         Args:
@@ -121,11 +121,11 @@
         """
         if not self.is_current(now_ms):
             # Neither a revocation nor a new key can be ruled out.
-            return Standing.OUT_OF_DATE, None
+            return KeyStatus.OUT_OF_DATE, None
         account = self.accounts.get(key or '')
         if account is None:
-            return Standing.UNKNOWN_KEY, None
-        return Standing.OPEN, account
+            return KeyStatus.UNKNOWN_KEY, None
+        return KeyStatus.VALID, account
 
 
 def account_name(
--- a/eelgrassknot/forwarding/call_driver.py
+++ b/eelgrassknot/forwarding/call_driver.py
@@ -23,10 +23,10 @@
 
 MAX_PLACEMENTS = 6
 """Upstreams that are asked for one call, those that refused included."""
-MISDIRECTED_STATUS = 421
+MISDIRECTED_REQUEST = 421
 MAX_BUFFERED_BYTES = 1_048_576
 """Larger answers are passed on as they come, and can't be replaced."""
-_NO_RETRIED_STATUSES: frozenset[int] = frozenset()
+_NO_RETRYABLE_STATUSES: frozenset[int] = frozenset()
 
 
 class CallDriver(
@@ -51,64 +51,68 @@
             plain_call.AttemptRules(
                 work.route.max_attempts,
                 MAX_PLACEMENTS,
-                _NO_RETRIED_STATUSES,
+                _NO_RETRYABLE_STATUSES,
             ),
         )
         super().__init__(context, work, machine)
         self.attempt: upstream_connection.Attempt | None = None
         self.upstream: model.Upstream | None = None
         self.status = 0
-        self.answer_headers: list[tuple[bytes, bytes]] = []
+        self.upstream_headers: list[tuple[bytes, bytes]] = []
         self.body = bytearray()
-        self.passing = False
-        self.is_asking = False
+        self.is_streaming = False
+        self.awaiting_response = False
         self.attempt_timer: loops.Timer | None = None
 
     def start(self) -> None:
         """Place the call."""
-        self.work.exchange.gone = self._end
+        self.work.exchange.on_abort = self._finish
         self.context.budget(self.work.service.name).earn()
         self._place(None)
-        self.arm()
+        self.schedule_timeout()
 
     # What the attempt tells
 
-    def answer_started(
+    def response_started(
         self,
         attempt: upstream_connection.Attempt,
         status: int,
         headers: list[tuple[bytes, bytes]],
     ) -> None:
         """Take in the head of an answer."""
-        self._stop_asking(heard=True)
+        self._finish_waiting(responded=True)
         self.status = status
-        self.answer_headers = headers
+        self.upstream_headers = headers
         self.body = bytearray()
 
-    def answer_data(
+    def response_data(
         self, attempt: upstream_connection.Attempt, data: bytes
     ) -> None:
         """Take in a part of its body."""
-        if self.passing:
+        if self.is_streaming:
             self.work.exchange.send(data)
             return
         self.body += data
-        if len(self.body) > MAX_BUFFERED_BYTES and self._is_usable():
-            self._start_passing()
+        if len(self.body) > MAX_BUFFERED_BYTES and self._is_signed():
+            self._start_streaming()
 
-    def answer_ended(self, attempt: upstream_connection.Attempt) -> None:
+    def response_completed(self, attempt: upstream_connection.Attempt) -> None:
         """Take in that the answer is complete."""
-        if self.passing:
+        if self.is_streaming:
             self.work.exchange.finish()
-            self._end('passed')
+            self._finish('passed')
             return
-        if self.context.dialect.says_not_run(self.status, self.answer_headers):
-            if self.status == MISDIRECTED_STATUS:
+        if self.context.dialect.declares_not_executed(
+            self.status, self.upstream_headers
+        ):
+            if self.status == MISDIRECTED_REQUEST:
                 # Another server has its address now.
-                self.context.book.eject(self.upstream.upstream, self.now_ms())
-            self._tell(messages.NotRun(self.machine.attempt))
+                self.context.health.eject(
+                    self.upstream.upstream, self.now_ms()
+                )
+            self._dispatch(messages.NotRun(self.machine.attempt))
             return
-        if not self._is_usable():
+        if not self._is_signed():
             logs.warning(
                 'answer_not_genuine',
                 request=self.work.request,
@@ -119,14 +123,14 @@
                 attempt, upstream_connection.Fault.MALFORMED, True
             )
             return
-        self._judge_upstream(self.status < 500)
+        self._record_health(self.status < 500)
         answer = messages.ForwardedAnswer(
             self.status,
-            tuple(self.answer_headers),
+            tuple(self.upstream_headers),
             bytes(self.body),
             self.work.request,
         )
-        self._tell(messages.Answered(self.machine.attempt, answer))
+        self._dispatch(messages.Answered(self.machine.attempt, answer))
 
     def attempt_failed(
         self,
@@ -135,12 +139,12 @@
         bytes_left: bool,
     ) -> None:
         """Take in that the attempt will not be answered."""
-        if self.passing:
-            self.work.exchange.break_off()
-            self._end('broken')
+        if self.is_streaming:
+            self.work.exchange.abort()
+            self._finish('broken')
             return
-        self._stop_asking(heard=False)
-        self._judge_upstream(False)
+        self._finish_waiting(responded=False)
+        self._record_health(False)
         metrics.ATTEMPT_FAULTS.labels(fault.value).inc()
         logs.event(
             'attempt_failed',
@@ -149,29 +153,31 @@
             fault=fault.value,
             bytes_left=bytes_left,
         )
-        self._tell(messages.AttemptFailed(self.machine.attempt, bytes_left))
+        self._dispatch(
+            messages.AttemptFailed(self.machine.attempt, bytes_left)
+        )
 
     # What the state machine wants
 
-    def _tell(self, event: messages.Event) -> None:
+    def _dispatch(self, event: messages.Event) -> None:
         for action in self.machine.handle(event, self.now_ms()):
-            self._act(action)
-        self.arm()
+            self._execute(action)
+        self.schedule_timeout()
 
-    def _act(self, action: messages.Action) -> None:
+    def _execute(self, action: messages.Action) -> None:
         match action:
             case messages.Place(failed):
-                self._place_again(failed)
+                self._retry_placement(failed)
             case messages.Send():
                 self._send(action)
             case messages.EndCall():
-                self._answer(action)
+                self._respond(action)
 
-    def _place_again(self, failed: ids.UpstreamId) -> None:
-        ran = self.attempt is not None and self.attempt.bytes_left
+    def _retry_placement(self, failed: ids.UpstreamId) -> None:
+        ran = self.attempt is not None and self.attempt.has_sent_bytes
         budget = self.context.budget(self.work.service.name)
         if ran and not budget.spend():
-            self._tell(
+            self._dispatch(
                 messages.Refused(states.RefusalReason.QUEUE_FULL, 1_000.0)
             )
             return
@@ -193,107 +199,109 @@
         )
         match pool.place(profile, failed, self.now_ms()):
             case policy_messages.Dispatch(_, upstream, crosses_region):
-                self._tell(messages.Placed(upstream, crosses_region))
+                self._dispatch(messages.Placed(upstream, crosses_region))
             case policy_messages.Refuse(_, reason, retry_after_ms):
-                self._tell(messages.Refused(reason, retry_after_ms))
+                self._dispatch(messages.Refused(reason, retry_after_ms))
 
     def _send(self, action: messages.Send) -> None:
         self.upstream = action.upstream
-        self.context.book.asked(action.upstream.upstream, self.now_ms())
-        self.is_asking = True
+        self.context.health.asked(action.upstream.upstream, self.now_ms())
+        self.awaiting_response = True
         self.attempt = works.send(
             self.context,
             self.work,
             action.upstream,
             self,
-            functools.partial(self._facts, action.upstream),
+            functools.partial(self._metadata, action.upstream),
             action.proven,
         )
         if action.timeout_ms < self.work.deadline_ms - (self.now_ms()):
             self.attempt_timer = self.context.loop.call_later(
-                action.timeout_ms, self._attempt_timed_out
+                action.timeout_ms, self._on_attempt_timeout
             )
 
-    def _facts(
+    def _metadata(
         self, upstream: kernel_events.UpstreamInfo, left_ms: float
-    ) -> dialect.ForwardingFacts:
-        return dialect.ForwardingFacts(
+    ) -> dialect.ForwardingMetadata:
+        return dialect.ForwardingMetadata(
             upstream.upstream, left_ms, self.work.account
         )
 
-    def _attempt_timed_out(self) -> None:
+    def _on_attempt_timeout(self) -> None:
         attempt = self.attempt
-        if attempt is None or attempt.over or self.passing:
+        if attempt is None or attempt.over or self.is_streaming:
             return
         attempt.cancel()
-        self._eject_if_mute()
+        self._eject_if_unresponsive()
         self.attempt_failed(
-            attempt, upstream_connection.Fault.BROKEN, attempt.bytes_left
+            attempt, upstream_connection.Fault.BROKEN, attempt.has_sent_bytes
         )
 
-    def _answer(self, end: messages.EndCall) -> None:
+    def _respond(self, end: messages.EndCall) -> None:
         exchange = self.work.exchange
         if end.answer is not None:
             exchange.respond(
                 end.answer.status,
-                self.context.dialect.answer_headers(end.answer.headers),
+                self.context.dialect.response_headers(end.answer.headers),
                 end.answer.body,
             )
         elif end.outcome is states.Outcome.NOT_RUN:
-            error_responses.refuse(
+            error_responses.send_error(
                 exchange, 503, end.outcome, end.reason, end.retry_after_ms
             )
         else:
             late = end.reason == 'deadline'
-            error_responses.refuse(
+            error_responses.send_error(
                 exchange, 504 if late else 502, end.outcome, end.reason
             )
-        self._end(end.reason)
+        self._finish(end.reason)
 
-    def _is_usable(self) -> bool:
-        return self.context.dialect.is_genuine(self.answer_headers)
+    def _is_signed(self) -> bool:
+        return self.context.dialect.is_signed(self.upstream_headers)
 
-    def _start_passing(self) -> None:
-        self.passing = True
+    def _start_streaming(self) -> None:
+        self.is_streaming = True
         self.work.exchange.start(
             self.status,
-            self.context.dialect.answer_headers(self.answer_headers),
+            self.context.dialect.response_headers(self.upstream_headers),
         )
         self.work.exchange.send(bytes(self.body))
 
-    def _stop_asking(self, heard: bool) -> None:
+    def _finish_waiting(self, responded: bool) -> None:
         """Count that the upstream has begun to answer, or never will."""
-        if not self.is_asking:
+        if not self.awaiting_response:
             return
-        self.is_asking = False
-        book = self.context.book
-        if heard:
-            book.heard(self.upstream.upstream, self.now_ms())
+        self.awaiting_response = False
+        health = self.context.health
+        if responded:
+            health.heard(self.upstream.upstream, self.now_ms())
         else:
-            book.abandoned(self.upstream.upstream)
+            health.abandoned(self.upstream.upstream)
 
-    def _eject_if_mute(self) -> None:
+    def _eject_if_unresponsive(self) -> None:
         """Eject an upstream that let this call wait and answers nobody."""
-        book, now_ms = self.context.book, self.now_ms()
-        if self.is_asking and book.is_mute(self.upstream.upstream, now_ms):
+        health, now_ms = self.context.health, self.now_ms()
+        if self.awaiting_response and health.is_mute(
+            self.upstream.upstream, now_ms
+        ):
             logs.event('upstream_mute', upstream=self.upstream.upstream)
-            book.eject(self.upstream.upstream, now_ms)
+            health.eject(self.upstream.upstream, now_ms)
 
-    def _judge_upstream(self, good: bool) -> None:
-        if good:
-            self.context.book.succeeded(self.upstream.upstream)
+    def _record_health(self, succeeded: bool) -> None:
+        if succeeded:
+            self.context.health.succeeded(self.upstream.upstream)
         else:
-            self.context.book.failed(self.upstream.upstream, self.now_ms())
+            self.context.health.failed(self.upstream.upstream, self.now_ms())
 
-    def _end(self, reason: str) -> None:
-        self.disarm()
+    def _finish(self, reason: str) -> None:
+        self.cancel_timeout()
         if self.attempt_timer is not None:
             self.attempt_timer.cancel()
         if self.attempt is not None:
             self.attempt.cancel()
         if reason == 'deadline':
-            self._eject_if_mute()
-        self._stop_asking(heard=False)
+            self._eject_if_unresponsive()
+        self._finish_waiting(responded=False)
         self.context.plain_pool.release(self.work.request)
         total_ms = self.now_ms() - self.work.started_ms
         kind = self.work.route.kind.value
@@ -313,4 +321,4 @@
 
     def tick(self) -> None:
         """Tell the call that time has passed."""
-        self._tell(messages.Tick())
+        self._dispatch(messages.Tick())
--- a/eelgrassknot/forwarding/caller_connection.py
+++ b/eelgrassknot/forwarding/caller_connection.py
@@ -19,12 +19,12 @@
 
 DEFAULT_LIMITS = model.CallerLimits(16_384, 4_194_304, 3_000.0, 15_000.0)
 """Limits before the first desired state is known."""
-IDLE_MARGIN = 1.1
+IDLE_TIMEOUT_FACTOR = 1.1
 """An idle connection is kept for this much of the stated time, so that a
 caller that keeps to it never meets our close."""
 LINGER_MS = 1_000.0
 """How long the rest of a rejected body is read before the close; ms."""
-HEAD_SLACK_BYTES = 4_096
+HEAD_MARGIN_BYTES = 4_096
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -59,7 +59,7 @@
     def handle(self, exchange: 'Exchange') -> None:
         """Take a request; its exchange is ended by the server."""
 
-    def forget(self, connection: 'CallerConnection') -> None:
+    def connection_closed(self, connection: 'CallerConnection') -> None:
         """Take in that a connection has ended."""
 
 
@@ -77,7 +77,7 @@
     ) -> None:
         self.connection = connection
         self.request = request
-        self.gone: collections.abc.Callable[[str], None] | None = None
+        self.on_abort: collections.abc.Callable[[str], None] | None = None
         self.is_over = False
         self.started = False
 
@@ -104,7 +104,7 @@
     def finish(self) -> None:
         """End the answer as complete."""
         self.is_over = True
-        self.connection.finish()
+        self.connection.finish_response()
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a whole answer."""
@@ -113,18 +113,18 @@
         self.send(body)
         self.finish()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End the connection so that the answer can't look complete."""
         self.is_over = True
         self.connection.abort()
 
-    def end_early(self, reason: str) -> None:
+    def notify_aborted(self, reason: str) -> None:
         """Take in that the answer can't be brought to its end."""
         if self.is_over:
             return
         self.is_over = True
-        if self.gone is not None:
-            self.gone(reason)
+        if self.on_abort is not None:
+            self.on_abort(reason)
 
 
 class CallerConnection(connections.Handler):
@@ -141,7 +141,7 @@
         self.parser = h11.Connection(
             h11.SERVER,
             max_incomplete_event_size=self.limits.header_bytes
-            + HEAD_SLACK_BYTES,
+            + HEAD_MARGIN_BYTES,
         )
         self.head: h11.Request | None = None
         self.head_ms = 0.0
@@ -149,9 +149,11 @@
         self.exchange: Exchange | None = None
         self.timer: loops.Timer | None = None
         self.rejected = False
-        self.awaits_first_byte = False
-        self.link = connections.Connection.accepted(server.loop, stream, self)
-        self._expect_head()
+        self.awaiting_first_byte = False
+        self.transport = connections.Connection.accepted(
+            server.loop, stream, self
+        )
+        self._await_head()
 
     @property
     def is_idle(self) -> bool:
@@ -164,8 +166,8 @@
             return
         self.parser.receive_data(data)
         if self.exchange is None:
-            if self.awaits_first_byte:
-                self._expect_rest_of_head()
+            if self.awaiting_first_byte:
+                self._await_rest_of_head()
             self._read_events()
         elif len(self.parser.trailing_data[0]) > self.limits.body_bytes:
             self.abort()
@@ -173,20 +175,20 @@
 
     def ended(self, error: OSError | None) -> None:
         """Take in that the caller's end has closed or broken."""
-        self.link.abort() if error else self.link.close()
+        self.transport.abort() if error else self.transport.close()
         self._stop_timer()
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
-            exchange.end_early('caller_left')
-        self.server.forget(self)
+            exchange.notify_aborted('caller_left')
+        self.server.connection_closed(self)
 
     def send(self, event: h11.Event) -> None:
         """Send a part of an answer."""
         data = self.parser.send(event)
         if data:
-            self.link.send(data)
+            self.transport.send(data)
 
-    def finish(self) -> None:
+    def finish_response(self) -> None:
         """End the present answer and go on to the next request."""
         self.send(h11.EndOfMessage())
         self.exchange = None
@@ -200,7 +202,7 @@
             return
         self.parser.start_next_cycle()
         self.limits = self.server.limits
-        self._expect_head()
+        self._await_head()
         # In a later round, so that a row of answers can't recurse.
         self.server.loop.call_soon(self._read_events)
 
@@ -213,38 +215,38 @@
         """End the connection with a reset."""
         self._stop_timer()
         self.exchange = None
-        self.link.abort()
-        self.server.forget(self)
+        self.transport.abort()
+        self.server.connection_closed(self)
 
     def _close(self) -> None:
         self._stop_timer()
-        self.link.close()
-        self.server.forget(self)
+        self.transport.close()
+        self.server.connection_closed(self)
 
     def _read_events(self) -> None:
         try:
-            while self.exchange is None and not self.link.closed:
+            while self.exchange is None and not self.transport.closed:
                 event = self.parser.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return
-                self._take(event)
+                self._handle_event(event)
         except h11.RemoteProtocolError as error:
             self._reject(error.error_status_hint, str(error))
 
-    def _take(self, event: h11.Event) -> None:
+    def _handle_event(self, event: h11.Event) -> None:
         match event:
             case h11.Request():
-                self._begin(event)
+                self._begin_request(event)
             case h11.Data():
                 self.body += event.data
                 if len(self.body) > self.limits.body_bytes:
                     self._reject(413, 'the body is over the limit')
             case h11.EndOfMessage():
-                self._complete()
+                self._complete_request()
             case h11.ConnectionClosed():
                 self._close()
 
-    def _begin(self, head: h11.Request) -> None:
+    def _begin_request(self, head: h11.Request) -> None:
         self.head = head
         self.head_ms = self.server.loop.now_ms()
         self.body = bytearray()
@@ -260,7 +262,7 @@
         if self.parser.they_are_waiting_for_100_continue:
             self.send(h11.InformationalResponse(status_code=100, headers=[]))
 
-    def _complete(self) -> None:
+    def _complete_request(self) -> None:
         self._stop_timer()
         head, self.head = self.head, None
         names = {name for name, _ in head.headers}
@@ -275,9 +277,9 @@
         )
         self.body = bytearray()
         self.exchange = Exchange(self, request)
-        self._hand_over(self.exchange)
+        self._dispatch(self.exchange)
 
-    def _hand_over(self, exchange: Exchange) -> None:
+    def _dispatch(self, exchange: Exchange) -> None:
         """Have a request served; an error in that closes the connection.
 
         The caller learns at once that no answer will come, and is told
@@ -322,17 +324,17 @@
         # may take the answer with it.
         self.server.loop.call_later(LINGER_MS, self._close)
 
-    def _expect_head(self) -> None:
+    def _await_head(self) -> None:
         if self.parser.trailing_data[0]:
-            self._expect_rest_of_head()
+            self._await_rest_of_head()
             return
         self._stop_timer()
-        self.awaits_first_byte = True
-        self._start_timer(self.limits.idle_timeout_ms * IDLE_MARGIN)
+        self.awaiting_first_byte = True
+        self._start_timer(self.limits.idle_timeout_ms * IDLE_TIMEOUT_FACTOR)
 
-    def _expect_rest_of_head(self) -> None:
+    def _await_rest_of_head(self) -> None:
         self._stop_timer()
-        self.awaits_first_byte = False
+        self.awaiting_first_byte = False
         self._start_timer(self.limits.header_timeout_ms)
 
     def _start_timer(self, delay_ms: float) -> None:
@@ -345,7 +347,7 @@
 
     def _timed_out(self) -> None:
         self.timer = None
-        if self.exchange is not None or self.link.closed:
+        if self.exchange is not None or self.transport.closed:
             return
         if self.parser.trailing_data[0] or self.head is not None:
             self._reject(408, 'the request took too long to come')
--- a/eelgrassknot/forwarding/connection.py
+++ b/eelgrassknot/forwarding/connection.py
@@ -15,7 +15,7 @@
 READ_BYTES = 65_536
 ACCEPT_BATCH = 64
 BACKLOG = 1_024
-MAX_UNSENT_BYTES = 4_194_304
+MAX_BUFFERED_BYTES = 4_194_304
 """Bytes held for a reader that does not read; the largest body allowed."""
 USER_TIMEOUT_MS = 4_000
 """Unacknowledged bytes end a connection after this; ms (contact bound)."""
@@ -58,7 +58,7 @@
         self.loop = loop
         self.stream = stream
         self.handler = handler
-        self.unsent = bytearray()
+        self.send_buffer = bytearray()
         self.connecting = False
         self.closing = False
         self.closed = False
@@ -73,9 +73,9 @@
         handler: Handler,
     ) -> 'Connection':
         """Return a connection for an accepted socket."""
-        _prepare(stream)
+        _configure_socket(stream)
         connection = cls(loop, stream, handler)
-        connection._watch()
+        connection._update_interest()
         return connection
 
     @classmethod
@@ -84,38 +84,38 @@
     ) -> 'Connection':
         """Start to connect to ``IP:port``."""
         stream = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        _prepare(stream)
+        _configure_socket(stream)
         connection = cls(loop, stream, handler)
         connection.connecting = True
         code = stream.connect_ex(vm_settings.split_address(address))
         if code not in (0, errno.EINPROGRESS):
             error = OSError(code, 'connect')
-            loop.call_soon(lambda: connection._end(error))
+            loop.call_soon(lambda: connection._report_end(error))
             return connection
-        connection._watch()
+        connection._update_interest()
         return connection
 
     def send(self, data: bytes) -> None:
         """Send bytes, or keep them until the peer reads."""
         if self.closed or not data:
             return
-        if not self.unsent and not self.connecting:
-            data = data[self._push(data) :]
+        if not self.send_buffer and not self.connecting:
+            data = data[self._send_now(data) :]
         if self.closed or not data:
             return
-        self.unsent += data
-        if len(self.unsent) > MAX_UNSENT_BYTES:
+        self.send_buffer += data
+        if len(self.send_buffer) > MAX_BUFFERED_BYTES:
             self.abort()
             error = OSError(errno.ENOBUFS, 'the peer does not read')
             self.loop.call_soon(lambda: self.handler.ended(error))
             return
-        self._watch()
+        self._update_interest()
 
     def close(self) -> None:
         """Close once all bytes are sent."""
         self.closing = True
-        if not self.unsent or self.connecting:
-            self._release()
+        if not self.send_buffer or self.connecting:
+            self._close_socket()
 
     def abort(self) -> None:
         """Close at once with a reset, so that nobody takes it as complete."""
@@ -123,17 +123,17 @@
             self.stream.setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE
             )
-        self._release()
+        self._close_socket()
 
-    def _watch(self) -> None:
+    def _update_interest(self) -> None:
         mask = selectors.EVENT_READ
-        if self.unsent or self.connecting:
+        if self.send_buffer or self.connecting:
             mask |= selectors.EVENT_WRITE
         if mask != self.mask and not self.closed:
             self.mask = mask
-            self.loop.watch(self.stream, mask, self._ready)
+            self.loop.watch(self.stream, mask, self._on_ready)
 
-    def _ready(self, mask: int) -> None:
+    def _on_ready(self, mask: int) -> None:
         if self.connecting:
             self._finish_connecting()
             return
@@ -145,23 +145,23 @@
     def _finish_connecting(self) -> None:
         code = self.stream.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
-            self._end(OSError(code, 'connect'))
+            self._report_end(OSError(code, 'connect'))
             return
         self.connecting = False
         self.handler.connected()
         self._flush()
 
     def _flush(self) -> None:
-        if self.unsent and not self.closed:
-            del self.unsent[: self._push(self.unsent)]
+        if self.send_buffer and not self.closed:
+            del self.send_buffer[: self._send_now(self.send_buffer)]
         if self.closed:
             return
-        if self.closing and not self.unsent:
-            self._release()
+        if self.closing and not self.send_buffer:
+            self._close_socket()
             return
-        self._watch()
+        self._update_interest()
 
-    def _push(self, data: bytes | bytearray) -> int:
+    def _send_now(self, data: bytes | bytearray) -> int:
         try:
             count = self.stream.send(data)
         except BlockingIOError:
@@ -182,20 +182,20 @@
         except BlockingIOError:
             return
         except OSError as error:
-            self._end(error)
+            self._report_end(error)
             return
         if data:
             self.handler.received(data)
         else:
-            self._end(None)
+            self._report_end(None)
 
-    def _end(self, error: OSError | None) -> None:
+    def _report_end(self, error: OSError | None) -> None:
         if self.closed:
             return
-        self._release()
+        self._close_socket()
         self.handler.ended(error)
 
-    def _release(self) -> None:
+    def _close_socket(self) -> None:
         if self.closed:
             return
         self.closed = True
@@ -225,14 +225,14 @@
         self.stream.bind(vm_settings.split_address(address))
         self.stream.listen(BACKLOG)
         self.stream.setblocking(False)
-        loop.watch(self.stream, selectors.EVENT_READ, self._ready)
+        loop.watch(self.stream, selectors.EVENT_READ, self._on_ready)
 
     def close(self) -> None:
         """Accept no more."""
         self.loop.unwatch(self.stream)
         self.stream.close()
 
-    def _ready(self, _: int) -> None:
+    def _on_ready(self, _: int) -> None:
         for _ in range(ACCEPT_BATCH):
             try:
                 stream, _address = self.stream.accept()
@@ -241,7 +241,7 @@
             self.accept(stream)
 
 
-def _prepare(stream: socket.socket) -> None:
+def _configure_socket(stream: socket.socket) -> None:
     stream.setblocking(False)
     options = (
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
--- a/eelgrassknot/forwarding/dialect.py
+++ b/eelgrassknot/forwarding/dialect.py
@@ -16,7 +16,7 @@
 from eelgrassknot import ids
 from eelgrassknot.kernel import registry
 
-__all__ = ['CallerHeaders', 'DIALECTS', 'Dialect', 'ForwardingFacts']
+__all__ = ['CallerHeaders', 'DIALECTS', 'Dialect', 'ForwardingMetadata']
 
 Headers = collections.abc.Sequence[tuple[bytes, bytes]]
 
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ForwardingFacts:
+class ForwardingMetadata:
     """What the upstream is told beside the caller's own headers.
 
     Attributes:
@@ -96,18 +96,20 @@
     ]
     caller_headers: collections.abc.Callable[[Headers], CallerHeaders]
     forwarded_headers: collections.abc.Callable[
-        [Headers, ForwardingFacts], list[tuple[bytes, bytes]]
+        [Headers, ForwardingMetadata], list[tuple[bytes, bytes]]
     ]
-    answer_headers: collections.abc.Callable[
+    response_headers: collections.abc.Callable[
         [Headers], list[tuple[bytes, bytes]]
     ]
-    answered_request: collections.abc.Callable[[Headers], ids.RequestId | None]
-    is_genuine: collections.abc.Callable[[Headers], bool]
-    says_not_run: collections.abc.Callable[[int, Headers], bool]
-    encode_move: collections.abc.Callable[
+    echoed_request_id: collections.abc.Callable[
+        [Headers], ids.RequestId | None
+    ]
+    is_signed: collections.abc.Callable[[Headers], bool]
+    declares_not_executed: collections.abc.Callable[[int, Headers], bool]
+    encode_kv_transfer: collections.abc.Callable[
         [str, ids.RequestId, str, bool], tuple[h11.Request, bytes]
     ]
-    decode_move: collections.abc.Callable[[int, bytes], str | None]
+    decode_kv_transfer: collections.abc.Callable[[int, bytes], str | None]
 
 
 DIALECTS: registry.Registry[Dialect] = registry.Registry('dialect')
--- a/eelgrassknot/forwarding/engine_scheduler.py
+++ b/eelgrassknot/forwarding/engine_scheduler.py
@@ -12,53 +12,53 @@
 from eelgrassknot.policy import health
 from eelgrassknot import states
 
-__all__ = ['EngineDesk']
+__all__ = ['EngineScheduler']
 
-STEP_MS = 50.0
+POLL_INTERVAL_MS = 50.0
 """How often those who wait are looked at if nothing changes; ms."""
 
-Taker = collections.abc.Callable[
+PlacementCallback = collections.abc.Callable[
     [engine_queue.Placement | engine_queue.Refusal], None
 ]
 
 
-class StreamInHand(typing.Protocol):
+class ActiveStream(typing.Protocol):
     """What the desk needs of a stream's driver."""
 
     def upstream_leaving(self, upstream: str) -> None:
         """Take in that an upstream is about to leave or has left."""
 
 
-class EngineDesk:
+class EngineScheduler:
     """Engines in use and the streams that wait for one.
 
     Args:
         loop: The event loop.
         region: Region of this VM.
-        book: Health of the engines.
+        health: Health of the engines.
 
     Attributes:
         streams: Drivers of all streams in hand.
         upstreams: Every upstream that is listed, by name.
-        takers: Who is told of the placement of a waiting stream.
+        callbacks: Who is told of the placement of a waiting stream.
     """
 
     def __init__(
         self,
         loop: loops.EventLoop,
         region: ids.RegionId,
-        book: health.HealthBook,
+        health: health.HealthBook,
     ) -> None:
         self.loop = loop
         self.region = region
-        self.streams: set[StreamInHand] = set()
-        self.queue = engine_queue.EngineQueue(book)
+        self.streams: set[ActiveStream] = set()
+        self.queue = engine_queue.EngineQueue(health)
         self.upstreams: dict[str, model.Upstream] = {}
-        self.takers: dict[ids.RequestId, Taker] = {}
-        self.stepping = False
+        self.callbacks: dict[ids.RequestId, PlacementCallback] = {}
+        self.is_step_scheduled = False
         self.timer: loops.Timer | None = None
 
-    def replace(
+    def update_engines(
         self,
         upstreams: dict[str, model.Upstream],
         services: dict[ids.ServiceName, model.Service],
@@ -86,17 +86,19 @@
                 )
             )
         self.queue.engines = engines
-        self.step_soon()
+        self.schedule_step()
 
-    def submit(self, order: engine_queue.Order, taker: Taker) -> None:
+    def submit(
+        self, order: engine_queue.Order, callback: PlacementCallback
+    ) -> None:
         """Have a stream placed, at once if there is room."""
-        self.takers[order.request] = taker
+        self.callbacks[order.request] = callback
         self.queue.submit(order)
         self.step()
 
     def withdraw(self, request: ids.RequestId) -> None:
         """Forget a stream that waits."""
-        self.takers.pop(request, None)
+        self.callbacks.pop(request, None)
         self.queue.withdraw(request)
 
     def commitment(
@@ -109,7 +111,7 @@
         """Count a stream as ended, which may make room for another."""
         self.queue.commitments.release(request)
         if self.queue.waiting:
-            self.step_soon()
+            self.schedule_step()
 
     def place_copy(
         self,
@@ -150,25 +152,27 @@
         for stream in list(self.streams):
             stream.upstream_leaving(upstream)
 
-    def step_soon(self) -> None:
+    def schedule_step(self) -> None:
         """Look at those who wait in the next round of the loop."""
-        if not self.stepping:
-            self.stepping = True
-            self.loop.call_soon(self._step_now)
+        if not self.is_step_scheduled:
+            self.is_step_scheduled = True
+            self.loop.call_soon(self._run_scheduled_step)
 
     def step(self) -> None:
         """Place those who fit."""
-        for told in self.queue.step(self.loop.now_ms()):
-            taker = self.takers.pop(told.request, None)
-            if taker is not None:
-                taker(told)
+        for outcome in self.queue.step(self.loop.now_ms()):
+            callback = self.callbacks.pop(outcome.request, None)
+            if callback is not None:
+                callback(outcome)
         if self.queue.waiting and self.timer is None:
-            self.timer = self.loop.call_later(STEP_MS, self._timed_step)
+            self.timer = self.loop.call_later(
+                POLL_INTERVAL_MS, self._run_timed_step
+            )
 
-    def _step_now(self) -> None:
-        self.stepping = False
+    def _run_scheduled_step(self) -> None:
+        self.is_step_scheduled = False
         self.step()
 
-    def _timed_step(self) -> None:
+    def _run_timed_step(self) -> None:
         self.timer = None
         self.step()
--- a/eelgrassknot/forwarding/error_responses.py
+++ b/eelgrassknot/forwarding/error_responses.py
@@ -5,9 +5,9 @@
 from eelgrassknot.forwarding import caller_connection
 from eelgrassknot import states
 
-__all__ = ['refuse']
+__all__ = ['send_error']
 
-_TYPES = {
+_ERROR_TYPES = {
     400: 'invalid_request',
     401: 'authentication',
     404: 'no_route',
@@ -27,7 +27,7 @@
 }
 
 
-def refuse(
+def send_error(
     exchange: caller_connection.Exchange,
     status: int,
     outcome: states.Outcome,
@@ -48,7 +48,7 @@
     body = msgspec.json.encode(
         {
             'error': {
-                'type': _TYPES.get(status, 'error'),
+                'type': _ERROR_TYPES.get(status, 'error'),
                 'code': reason,
                 'message': f'the request was not served: {reason}',
                 'remedy': _REMEDIES.get(status, 'see the code'),
--- a/eelgrassknot/forwarding/forwarder.py
+++ b/eelgrassknot/forwarding/forwarder.py
@@ -44,12 +44,12 @@
     def __init__(
         self,
         context: works.Context,
-        book: access.AccessBook,
+        authenticator: access.KeyAuthenticator,
         generator: random.Random,
     ) -> None:
         self.loop = context.loop
         self.context = context
-        self.book = book
+        self.authenticator = authenticator
         self.generator = generator
         self.limits = caller_connection.DEFAULT_LIMITS
         self.draining = False
@@ -57,14 +57,14 @@
         self.state: model.DeploymentState | None = None
         self.routes = routing.RouteTable(())
 
-    def adopt(self, state: model.DeploymentState) -> None:
+    def apply_state(self, state: model.DeploymentState) -> None:
         """Put a state in force if it is newer than the present one."""
         if self.state is not None and state.version <= self.state.version:
             return
         self.state = state
         self.limits = state.limits
         self.routes = routing.RouteTable(state.routes)
-        self.book.replace(state.accounts)
+        self.authenticator.replace_accounts(state.accounts)
         metrics.STATE_VERSION.set(state.version)
         logs.event(
             'state_adopted',
@@ -76,12 +76,14 @@
         for fault in state_check.check_state(state)[:MAX_LOGGED_FAULTS]:
             logs.warning('state_fault', version=state.version, fault=fault)
 
-    def forget(self, connection: caller_connection.CallerConnection) -> None:
+    def connection_closed(
+        self, connection: caller_connection.CallerConnection
+    ) -> None:
         """Take in that a caller's connection has ended."""
         self.connections.discard(connection)
 
     @property
-    def in_hand(self) -> int:
+    def active_requests(self) -> int:
         """Requests that are being served."""
         return sum(not each.is_idle for each in self.connections)
 
@@ -90,13 +92,13 @@
         for connection in list(self.connections):
             connection.close_idle()
 
-    def break_off(self, reason: str) -> None:
+    def abort_active(self, reason: str) -> None:
         """End what is in hand, visibly incomplete."""
         for connection in list(self.connections):
             exchange = connection.exchange
             if exchange is not None:
                 connection.abort()
-                exchange.end_early(reason)
+                exchange.notify_aborted(reason)
 
     def handle(self, exchange: caller_connection.Exchange) -> None:
         """Check a request and forward it."""
@@ -104,23 +106,27 @@
         if self.state is None:
             self._refuse(exchange, headers, 503, 'no_state')
             return
-        route = self._route(exchange)
+        route = self._find_route(exchange)
         if route is None:
-            status = 404 if self.book.is_current(self.loop.now_ms()) else 503
+            status = (
+                404
+                if self.authenticator.is_current(self.loop.now_ms())
+                else 503
+            )
             self._refuse(exchange, headers, status, 'no_route')
             return
         account = None
         if self.state.has_accounts and not route.public:
-            standing, account = self.book.judge(
+            standing, account = self.authenticator.authenticate(
                 headers.key, self.loop.now_ms()
             )
-            if standing is access.Standing.OUT_OF_DATE:
+            if standing is access.KeyStatus.OUT_OF_DATE:
                 self._refuse(exchange, headers, 503, 'keys_out_of_date')
                 return
-            if standing is access.Standing.UNKNOWN_KEY:
+            if standing is access.KeyStatus.UNKNOWN_KEY:
                 self._refuse(exchange, headers, 401, 'unknown_key')
                 return
-        service = self._service(route)
+        service = self._choose_service(route)
         if service is None:
             self._refuse(exchange, headers, 503, 'no_service')
             return
@@ -147,7 +153,7 @@
             route=route,
             service=service,
             account=access.account_name(account),
-            rank=rank,
+            priority=rank,
             headers=headers,
             started_ms=started_ms,
             deadline_ms=started_ms + limit_ms,
@@ -157,7 +163,7 @@
         else:
             call_driver.CallDriver(self.context, work).start()
 
-    def _route(
+    def _find_route(
         self, exchange: caller_connection.Exchange
     ) -> model.Route | None:
         found = dict(exchange.request.headers)
@@ -165,7 +171,7 @@
         target = exchange.request.target.decode('latin-1')
         return self.routes.find(host, target)
 
-    def _service(self, route: model.Route) -> model.Service | None:
+    def _choose_service(self, route: model.Route) -> model.Service | None:
         name = routing.choose_service(route, self.generator)
         return self.state.services.get(name)
 
@@ -182,7 +188,7 @@
             status=status,
             reason=reason,
             state_version=self.state.version if self.state else None,
-            known_age_ms=self.book.age_ms(self.loop.now_ms()),
+            known_age_ms=self.authenticator.age_ms(self.loop.now_ms()),
         )
         metrics.REFUSALS.labels(reason).inc()
         outcome = states.Outcome.INVALID
@@ -190,6 +196,6 @@
         if status == 503:
             outcome = states.Outcome.NOT_RUN
             retry_after_ms = RETRY_AFTER_MS
-        error_responses.refuse(
+        error_responses.send_error(
             exchange, status, outcome, reason, retry_after_ms
         )
--- a/eelgrassknot/forwarding/kv_transfer.py
+++ b/eelgrassknot/forwarding/kv_transfer.py
@@ -9,14 +9,14 @@
 from eelgrassknot.forwarding import work as works
 from eelgrassknot import ids
 
-__all__ = ['Plan', 'RunMove']
+__all__ = ['TransferPlan', 'KvTransfer']
 
-MOVE_TIMEOUT_MS = 1_800.0
+TRANSFER_TIMEOUT_MS = 1_800.0
 """Longest wait for a move; ms. Engines leave 1.5 to 2.1 s after notice."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Plan:
+class TransferPlan:
     """A move that is to be made; the run goes on meanwhile."""
 
     request: ids.RequestId
@@ -24,7 +24,7 @@
     target: model.Upstream
 
 
-class RunMove(upstream_connection.AttemptListener):
+class KvTransfer(upstream_connection.AttemptListener):
     """Calls the source and waits for the copy.
 
     Args:
@@ -36,33 +36,33 @@
     def __init__(
         self,
         context: works.Context,
-        plan: Plan,
-        done: collections.abc.Callable[[Plan, str | None], None],
+        plan: TransferPlan,
+        on_done: collections.abc.Callable[[TransferPlan, str | None], None],
     ) -> None:
         self.context = context
         self.plan = plan
-        self.done = done
+        self.on_done = on_done
         self.status = 0
         self.body = b''
         self.over = False
-        head, body = context.dialect.encode_move(
+        head, body = context.dialect.encode_kv_transfer(
             plan.source.address,
             plan.request,
             plan.target.address,
             False,
         )
         self.timer = context.loop.call_later(
-            MOVE_TIMEOUT_MS, lambda: self._end(None)
+            TRANSFER_TIMEOUT_MS, lambda: self._finish(None)
         )
         self.attempt = upstream_connection.Attempt(
-            context.links,
+            context.connections,
             None,
             plan.source.address,
             self,
             lambda: head,
             body,
-            context.dialect.answered_request,
-            proven=True,
+            context.dialect.echoed_request_id,
+            require_fresh=True,
         )
 
     def cancel(self) -> None:
@@ -72,7 +72,7 @@
             self.timer.cancel()
             self.attempt.cancel()
 
-    def answer_started(
+    def response_started(
         self,
         attempt: upstream_connection.Attempt,
         status: int,
@@ -81,15 +81,17 @@
         """Take in the head of the answer."""
         self.status = status
 
-    def answer_data(
+    def response_data(
         self, attempt: upstream_connection.Attempt, data: bytes
     ) -> None:
         """Take in a part of its body."""
         self.body += data
 
-    def answer_ended(self, attempt: upstream_connection.Attempt) -> None:
+    def response_completed(self, attempt: upstream_connection.Attempt) -> None:
         """Take in that the answer is complete."""
-        self._end(self.context.dialect.decode_move(self.status, self.body))
+        self._finish(
+            self.context.dialect.decode_kv_transfer(self.status, self.body)
+        )
 
     def attempt_failed(
         self,
@@ -98,12 +100,12 @@
         bytes_left: bool,
     ) -> None:
         """Take in that no answer will come."""
-        self._end(None)
+        self._finish(None)
 
-    def _end(self, handle: str | None) -> None:
+    def _finish(self, handle: str | None) -> None:
         if self.over:
             return
         self.over = True
         self.timer.cancel()
         self.attempt.cancel()
-        self.done(self.plan, handle)
+        self.on_done(self.plan, handle)
--- a/eelgrassknot/forwarding/load_publisher.py
+++ b/eelgrassknot/forwarding/load_publisher.py
@@ -7,21 +7,21 @@
 from eelgrassknot.forwarding import replicated_state
 from eelgrassknot import ids
 
-__all__ = ['PeerNews']
+__all__ = ['LoadPublisher']
 
-LOOK_MS = 40.0
+POLL_INTERVAL_MS = 40.0
 """How often a change is looked for; ms. Placements follow each other by
 some hundred ms, so that most are known elsewhere before the next."""
 MESSAGES_PER_S = 150.0
 """Messages that a VM sends to all of its peers together in a second; with
 more peers each is told less often."""
-QUIET_MS = 500.0
+MAX_SILENCE_MS = 500.0
 """Longest time between two messages to few peers; ms."""
-TOKEN_STEP = 256
+TOKEN_GRANULARITY = 256
 """Changes of a sum by fewer tokens are not told by themselves."""
 
 
-class PeerNews:
+class LoadPublisher:
     """Sends this VM's sums to its peers when they change.
 
     Args:
@@ -35,55 +35,60 @@
 
     def __init__(
         self,
-        knowledge: replicated_state.Knowledge,
-        tally: peer_load.PeerTally,
+        replicated_state: replicated_state.ReplicatedState,
+        peer_load: peer_load.PeerLoad,
         loop: loops.EventLoop,
     ) -> None:
-        self.knowledge = knowledge
-        self.tally = tally
+        self.replicated_state = replicated_state
+        self.peer_load = peer_load
         self.loop = loop
         self.leaving = False
-        self.told_ms = float('-inf')
-        self.told: tuple = ()
+        self.last_published_ms = float('-inf')
+        self.last_published: tuple = ()
 
     def start(self) -> None:
         """Begin to tell."""
-        self.loop.call_later(LOOK_MS, self._look)
+        self.loop.call_later(POLL_INTERVAL_MS, self._publish_if_changed)
 
     def _interval_ms(self) -> float:
         """Return the least time between two messages to all peers."""
-        peers = len(self.knowledge.board.live())
-        return max(LOOK_MS, peers / MESSAGES_PER_S * clocks.MS_PER_SECOND)
+        peers = len(self.replicated_state.peers.live())
+        return max(
+            POLL_INTERVAL_MS, peers / MESSAGES_PER_S * clocks.MS_PER_SECOND
+        )
 
-    def _look(self) -> None:
+    def _publish_if_changed(self) -> None:
         interval_ms = self._interval_ms()
-        self.loop.call_later(interval_ms, self._look)
-        quiet_ms = max(QUIET_MS, 2 * interval_ms)
+        self.loop.call_later(interval_ms, self._publish_if_changed)
+        quiet_ms = max(MAX_SILENCE_MS, 2 * interval_ms)
         now_ms = self.loop.now_ms()
-        sums = self.tally.engines()
-        told = (
-            self.knowledge.newest(),
+        sums = self.peer_load.engine_sums()
+        current = (
+            self.replicated_state.urgent_versions(),
             tuple(
                 (
                     engine,
                     each.runs,
-                    (each.tokens + each.copy_tokens) // TOKEN_STEP,
+                    (each.tokens + each.copy_tokens) // TOKEN_GRANULARITY,
                 )
                 for engine, each in sorted(sums.items())
             ),
         )
-        if told == self.told and now_ms - self.told_ms < quiet_ms:
+        if (
+            current == self.last_published
+            and now_ms - self.last_published_ms < quiet_ms
+        ):
             return
-        self.told = told
-        self.told_ms = now_ms
-        self.knowledge.board.broadcast(
+        self.last_published = current
+        self.last_published_ms = now_ms
+        self.replicated_state.peers.broadcast(
             messages.EntryNews(
                 ids.AvailabilityZoneId(
-                    self.knowledge.settings.availability_zone
+                    self.replicated_state.settings.availability_zone
                 ),
                 self.leaving,
-                self.knowledge.marks(),
+                self.replicated_state.watermarks(),
                 peer_load.engine_entries(sums),
-                tuple(self.tally.running_calls().items()),
+                tuple(self.peer_load.running_calls().items()),
             )
         )
--- a/eelgrassknot/forwarding/loop.py
+++ b/eelgrassknot/forwarding/loop.py
@@ -14,7 +14,7 @@
 
 MAX_WAIT_MS = 1_000.0
 """Longest wait without an event; ms. Bounds how late a stop is seen."""
-WAKE_BYTES = 4_096
+WAKEUP_READ_BYTES = 4_096
 
 Callback = collections.abc.Callable[[], None]
 
@@ -57,12 +57,12 @@
         self.clock = clock
         self.selector = selectors.DefaultSelector()
         self.timers: list[tuple[float, int, Timer]] = []
-        self.order = itertools.count()
-        self.incoming: collections.deque[Callback] = collections.deque()
+        self.timer_sequence = itertools.count()
+        self.pending_calls: collections.deque[Callback] = collections.deque()
         self.running = False
-        self.wake_reader, self.wake_writer = _wake_pair()
+        self.wakeup_reader, self.wakeup_writer = _create_wakeup_pair()
         self.selector.register(
-            self.wake_reader, selectors.EVENT_READ, self._drain_wakes
+            self.wakeup_reader, selectors.EVENT_READ, self._drain_wakeups
         )
 
     def now_ms(self) -> float:
@@ -72,7 +72,7 @@
     def call_at(self, due_ms: float, callback: Callback) -> Timer:
         """Have a callback called at a time of the loop's clock."""
         timer = Timer(due_ms, callback)
-        heapq.heappush(self.timers, (due_ms, next(self.order), timer))
+        heapq.heappush(self.timers, (due_ms, next(self.timer_sequence), timer))
         return timer
 
     def call_later(self, delay_ms: float, callback: Callback) -> Timer:
@@ -81,9 +81,9 @@
 
     def call_soon(self, callback: Callback) -> None:
         """Have a callback called in the next round; any thread may ask."""
-        self.incoming.append(callback)
+        self.pending_calls.append(callback)
         try:
-            self.wake_writer.send(b'.')
+            self.wakeup_writer.send(b'.')
         except BlockingIOError:
             # The buffer is full of wake-ups, so the loop wakes anyway.
             return
@@ -109,22 +109,22 @@
         """Run until it is stopped."""
         self.running = True
         while self.running:
-            self._round()
+            self._run_once()
 
     def stop(self) -> None:
         """End the run after the present round."""
         self.running = False
 
-    def _round(self) -> None:
-        for key, mask in self.selector.select(self._wait_s()):
-            self._guard(lambda key=key, mask=mask: key.data(mask))
-        for timer in self._due_timers():
+    def _run_once(self) -> None:
+        for key, mask in self.selector.select(self._select_timeout_s()):
+            self._run_callback(lambda key=key, mask=mask: key.data(mask))
+        for timer in self._pop_due_timers():
             if not timer.cancelled:
-                self._guard(timer.callback)
-        for _ in range(len(self.incoming)):
-            self._guard(self.incoming.popleft())
+                self._run_callback(timer.callback)
+        for _ in range(len(self.pending_calls)):
+            self._run_callback(self.pending_calls.popleft())
 
-    def _due_timers(self) -> list[Timer]:
+    def _pop_due_timers(self) -> list[Timer]:
         # Taken out at once: a timer that sets itself anew waits for the
         # next round, so that sockets get their turn.
         now_ms = self.now_ms()
@@ -133,8 +133,8 @@
             due.append(heapq.heappop(self.timers)[2])
         return due
 
-    def _wait_s(self) -> float:
-        if self.incoming:
+    def _select_timeout_s(self) -> float:
+        if self.pending_calls:
             return 0.0
         while self.timers and self.timers[0][2].cancelled:
             heapq.heappop(self.timers)
@@ -143,17 +143,17 @@
             wait_ms = min(wait_ms, self.timers[0][0] - self.now_ms())
         return max(0.0, wait_ms) / clocks.MS_PER_SECOND
 
-    def _drain_wakes(self, _: int) -> None:
-        self.wake_reader.recv(WAKE_BYTES)
+    def _drain_wakeups(self, _: int) -> None:
+        self.wakeup_reader.recv(WAKEUP_READ_BYTES)
 
-    def _guard(self, callback: Callback) -> None:
+    def _run_callback(self, callback: Callback) -> None:
         try:
             callback()
         except Exception as error:
             logs.exception('callback_failed', error)
 
 
-def _wake_pair() -> tuple[socket.socket, socket.socket]:
+def _create_wakeup_pair() -> tuple[socket.socket, socket.socket]:
     reader, writer = socket.socketpair()
     reader.setblocking(False)
     writer.setblocking(False)
--- a/eelgrassknot/forwarding/machine_driver.py
+++ b/eelgrassknot/forwarding/machine_driver.py
@@ -5,10 +5,10 @@
 from eelgrassknot.forwarding import loop as loops
 from eelgrassknot.forwarding import work as works
 
-__all__ = ['Machine', 'MachineDriver']
+__all__ = ['StateMachine', 'MachineDriver']
 
 
-class Machine(typing.Protocol):
+class StateMachine(typing.Protocol):
     """A state machine that has to be told of the time."""
 
     def wake_ms(self) -> float:
@@ -25,7 +25,7 @@
     """
 
     def __init__(
-        self, context: works.Context, work: works.Work, machine: Machine
+        self, context: works.Context, work: works.Work, machine: StateMachine
     ) -> None:
         self.context = context
         self.work = work
@@ -40,20 +40,20 @@
         """Tell the machine that time has passed."""
         raise NotImplementedError
 
-    def arm(self) -> None:
+    def schedule_timeout(self) -> None:
         """Set the time-out that the machine wants now."""
-        self.disarm()
+        self.cancel_timeout()
         if not self.work.exchange.is_over:
             self.timer = self.context.loop.call_at(
-                self.machine.wake_ms(), self._timed_out
+                self.machine.wake_ms(), self._on_timeout
             )
 
-    def disarm(self) -> None:
+    def cancel_timeout(self) -> None:
         """Take the time-out back."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
-    def _timed_out(self) -> None:
+    def _on_timeout(self) -> None:
         self.timer = None
         self.tick()
--- a/eelgrassknot/forwarding/metrics.py
+++ b/eelgrassknot/forwarding/metrics.py
@@ -5,15 +5,15 @@
 __all__ = [
     'ATTEMPT_FAULTS',
     'COPIES',
-    'IN_HAND',
-    'LINKS_OPENED',
+    'REQUESTS_IN_PROGRESS',
+    'CONNECTIONS_OPENED',
     'REFUSALS',
     'REQUESTS',
     'REQUEST_SECONDS',
     'STATE_VERSION',
     'STORE_CALLS',
     'TAKEOVERS',
-    'WAITING',
+    'STREAMS_WAITING',
 ]
 
 REQUESTS = prometheus_client.Counter(
@@ -46,7 +46,7 @@
     'Copies of runs that were made on request, by outcome',
     ['outcome'],
 )
-LINKS_OPENED = prometheus_client.Counter(
+CONNECTIONS_OPENED = prometheus_client.Counter(
     'eelgrassknot_upstream_connections_opened',
     'Connections opened to upstreams',
 )
@@ -55,10 +55,10 @@
     'Calls to the store, by outcome',
     ['outcome'],
 )
-IN_HAND = prometheus_client.Gauge(
+REQUESTS_IN_PROGRESS = prometheus_client.Gauge(
     'eelgrassknot_requests_in_hand', 'Requests that are being served'
 )
-WAITING = prometheus_client.Gauge(
+STREAMS_WAITING = prometheus_client.Gauge(
     'eelgrassknot_streams_waiting', 'Streams that wait for an engine'
 )
 STATE_VERSION = prometheus_client.Gauge(
--- a/eelgrassknot/forwarding/model.py
+++ b/eelgrassknot/forwarding/model.py
@@ -16,7 +16,7 @@
     'Route',
     'RouteKind',
     'Service',
-    'Share',
+    'WeightedService',
     'Upstream',
 ]
 
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Share:
+class WeightedService:
     """Part of a route's requests that goes to one service.
 
     Attributes:
@@ -61,7 +61,7 @@
     host: str
     prefix: str
     kind: RouteKind
-    shares: tuple[Share, ...]
+    shares: tuple[WeightedService, ...]
     timeout_ms: float
     objective_ms: float
     priority: int
@@ -97,7 +97,7 @@
     link_mbps: float
     can_move: bool
     can_copy: bool
-    handle_ms: float
+    handle_ttl_ms: float
     event_tokens: int
 
 
--- a/eelgrassknot/forwarding/overview.py
+++ b/eelgrassknot/forwarding/overview.py
@@ -13,12 +13,12 @@
 from eelgrassknot.forwarding import row_store
 from eelgrassknot import ids
 
-__all__ = ['Overview', 'UpstreamLine', 'VmLine', 'read_overview']
+__all__ = ['Overview', 'UpstreamSummary', 'VmSummary', 'read_overview']
 
 UNREADABLE = 'unreadable'
 
 
-class UpstreamLine(msgspec.Struct, frozen=True):
+class UpstreamSummary(msgspec.Struct, frozen=True):
     """One upstream that is listed.
 
     Attributes:
@@ -32,7 +32,7 @@
     state: str
 
 
-class VmLine(msgspec.Struct, frozen=True):
+class VmSummary(msgspec.Struct, frozen=True):
     """One entry VM that has written a row."""
 
     vm: str
@@ -50,8 +50,8 @@
     state_version: int | None
     routes: int
     accounts: int
-    upstreams: list[UpstreamLine]
-    vms: list[VmLine]
+    upstreams: list[UpstreamSummary]
+    vms: list[VmSummary]
 
 
 def read_overview(
@@ -90,26 +90,28 @@
             routes=len(state.routes) if state else 0,
             accounts=len(state.accounts) if state else 0,
             upstreams=[
-                _upstream_line(row.key, dialect.decode_upstream, row, regions)
+                _summarize_upstream(
+                    row.key, dialect.decode_upstream, row, regions
+                )
                 for row in upstreams.rows
             ],
-            vms=[_vm_line(row) for row in vms.rows],
+            vms=[_summarize_vm(row) for row in vms.rows],
         )
     )
 
 
-def _upstream_line(
+def _summarize_upstream(
     name: str,
     decode: collections.abc.Callable,
     row: row_store.StoreRow,
     regions: collections.abc.Mapping[str, str],
-) -> UpstreamLine:
+) -> UpstreamSummary:
     decoded: result.Result[model.Upstream, exceptions.MalformedAnswerError] = (
         decode(name, row.value, regions)
     )
     match decoded:
         case result.Ok(found):
-            return UpstreamLine(
+            return UpstreamSummary(
                 name,
                 found.service,
                 found.availability_zone,
@@ -117,14 +119,14 @@
                 found.state.value,
             )
         case _:
-            return UpstreamLine(name, '', '', '', UNREADABLE)
+            return UpstreamSummary(name, '', '', '', UNREADABLE)
 
 
-def _vm_line(row: row_store.StoreRow) -> VmLine:
+def _summarize_vm(row: row_store.StoreRow) -> VmSummary:
     try:
         found = msgspec.json.decode(row.value, type=peer_membership.VmRow)
     except msgspec.MsgspecError:
         # Shown as it is: the VMs themselves log why they leave it out.
-        return VmLine(row.key, '', UNREADABLE)
+        return VmSummary(row.key, '', UNREADABLE)
     zone = ids.AvailabilityZoneId(found.availability_zone)
-    return VmLine(row.key, zone, found.address)
+    return VmSummary(row.key, zone, found.address)
--- a/eelgrassknot/forwarding/peer_discovery.py
+++ b/eelgrassknot/forwarding/peer_discovery.py
@@ -22,7 +22,7 @@
 from eelgrassknot import logs
 from eelgrassknot.requests import backoff
 
-__all__ = ['PeerBoard']
+__all__ = ['PeerDiscovery']
 
 VMS_TABLE = 'eelgrassknot-vms'
 KEYS_TABLE = 'eelgrassknot-keys'
@@ -30,19 +30,19 @@
 KEY_BYTES = 32
 RETRY_BASE_MS = 200.0
 RETRY_MAX_MS = 2_000.0
-REREAD_MS = 30_000.0
+READ_INTERVAL_MS = 30_000.0
 """How often the rows of the VMs are read while nothing calls for it; ms."""
-REREAD_SOON_MS = 1_000.0
+MIN_READ_INTERVAL_MS = 1_000.0
 """Least time between two reads; ms."""
-SETTLE_MS = 500.0
+FIRST_READ_DELAY_MS = 500.0
 """Time between this VM's row and its first look at the others'; ms. VMs
 that start together find each other by one read."""
-PLAN_MS = 1_000.0
+PLAN_INTERVAL_MS = 1_000.0
 """How often the links are looked at; ms. A gateway that has ended is
 replaced within this time and that of its silence."""
 
 
-class PeerBoard:
+class PeerDiscovery:
     """The peers of this VM and the link to them.
 
     Args:
@@ -67,19 +67,21 @@
         store: row_store.RowStore,
         clock: clocks.Clock,
         generator: random.Random,
-        prepare: collections.abc.Callable[[peer_link.PeerLink], None],
+        register_handlers: collections.abc.Callable[
+            [peer_link.PeerLink], None
+        ],
     ) -> None:
         self.vm = vm
-        self.roster = peer_membership.PeerRoster(vm, availability_zone)
+        self.membership = peer_membership.PeerMembership(vm, availability_zone)
         self.row = peer_membership.VmRow(address, availability_zone)
         self.store = store
         self.clock = clock
-        self.prepare = prepare
+        self.register_handlers = register_handlers
         self.link: peer_link.PeerLink | None = None
         self.read_due_ms = 0.0
-        self.wanted = threading.Event()
+        self.read_requested = threading.Event()
         self.stopped = threading.Event()
-        self.jitter = backoff.DecorrelatedJitter(
+        self.backoff = backoff.DecorrelatedJitter(
             generator, RETRY_BASE_MS, RETRY_MAX_MS
         )
         self.thread = threading.Thread(
@@ -93,18 +95,18 @@
     def stop(self) -> None:
         """Look for no more peers."""
         self.stopped.set()
-        self.wanted.set()
+        self.read_requested.set()
 
-    def heard(self, vm: ids.VmId) -> None:
+    def record_contact(self, vm: ids.VmId) -> None:
         """Take in that a peer was heard of; an unknown one is looked up."""
-        self.roster.heard(vm, self.clock.now_ms())
-        if self.link is not None and vm not in self.roster.listed:
-            self.wanted.set()
+        self.membership.record_contact(vm, self.clock.now_ms())
+        if self.link is not None and vm not in self.membership.listed:
+            self.read_requested.set()
 
     def broadcast(self, message: messages.Message) -> None:
         """Send a message to the peers of the zone, or to all if few."""
         if self.link is not None:
-            self.link.broadcast(list(self.roster.links.zone), message)
+            self.link.broadcast(list(self.membership.links.zone), message)
 
     def send_far(
         self,
@@ -117,27 +119,29 @@
 
     def live(self) -> list[ids.VmId]:
         """Return the peers that were heard of just now."""
-        return self.roster.live(self.clock.now_ms())
+        return self.membership.live(self.clock.now_ms())
 
     def zone_members(self) -> list[ids.VmId]:
         """Return this VM and the live peers of its zone."""
-        return self.roster.zone_members(self.clock.now_ms())
+        return self.membership.zone_members(self.clock.now_ms())
 
     def _run(self) -> None:
         while not self.stopped.is_set():
             if self.clock.now_ms() >= self.read_due_ms:
-                delay_ms = self._guarded_step()
+                delay_ms = self._run_step()
                 self.read_due_ms = self.clock.now_ms() + delay_ms
             elif self.link is not None:
-                self._follow_plan()
+                self._apply_link_plan()
             due_ms = max(0.0, self.read_due_ms - self.clock.now_ms())
-            self.wanted.wait(min(PLAN_MS, due_ms) / clocks.MS_PER_SECOND)
-            if self.wanted.is_set():
-                self.wanted.clear()
-                self.stopped.wait(REREAD_SOON_MS / clocks.MS_PER_SECOND)
+            self.read_requested.wait(
+                min(PLAN_INTERVAL_MS, due_ms) / clocks.MS_PER_SECOND
+            )
+            if self.read_requested.is_set():
+                self.read_requested.clear()
+                self.stopped.wait(MIN_READ_INTERVAL_MS / clocks.MS_PER_SECOND)
                 self.read_due_ms = 0.0
 
-    def _guarded_step(self) -> float:
+    def _run_step(self) -> float:
         """Do what is due; return the time until the next step in ms."""
         try:
             found = self._step()
@@ -149,15 +153,17 @@
                 return delay_ms
             case result.Err(error):
                 logs.warning('peers_unread', why=str(error))
-                return self.jitter.next_ms()
+                return self.backoff.next_ms()
 
     def _step(self) -> result.Result[float, row_store.StoreError]:
         if self.link is None:
-            return self._register().map(lambda _: SETTLE_MS)
+            return self._register().map(lambda _: FIRST_READ_DELAY_MS)
         page = self.store.read_table(VMS_TABLE)
         if isinstance(page, result.Err):
             return page
-        return self._take_rows(page.ok_value).map(lambda _: REREAD_MS)
+        return self._process_rows(page.ok_value).map(
+            lambda _: READ_INTERVAL_MS
+        )
 
     def _register(self) -> result.Result[None, row_store.StoreError]:
         key = self._shared_key()
@@ -176,7 +182,7 @@
         link = peer_link.PeerLink(
             self.row.address, codec, self.clock, gather_ms=0.0
         )
-        self.prepare(link)
+        self.register_handlers(link)
         link.start()
         self.link = link
         return result.Ok(None)
@@ -206,7 +212,7 @@
             row_store.RowKey(VMS_TABLE, self.vm), msgspec.json.encode(self.row)
         )
 
-    def _take_rows(
+    def _process_rows(
         self, page: row_store.RowPage
     ) -> result.Result[None, row_store.StoreError]:
         """Follow the rows; put back one's own, drop those of the dead."""
@@ -218,22 +224,22 @@
                 )
             except msgspec.MsgspecError as error:
                 logs.warning('peer_unreadable', vm=row.key, why=str(error))
-        self.roster.take_rows(listed, self.clock.now_ms())
-        self._follow_plan()
+        self.membership.update_rows(listed, self.clock.now_ms())
+        self._apply_link_plan()
         if listed.get(self.vm) != self.row:
             written = self._write_own_row()
             if isinstance(written, result.Err):
                 return written
-        for vm in self.roster.forgotten(self.clock.now_ms()):
+        for vm in self.membership.expired(self.clock.now_ms()):
             logs.event('peer_forgotten', vm=vm)
             dropped = self.store.delete_row(row_store.RowKey(VMS_TABLE, vm))
             if isinstance(dropped, result.Err):
                 return dropped
         return result.Ok(None)
 
-    def _follow_plan(self) -> None:
+    def _apply_link_plan(self) -> None:
         """Connect to whom the roster names, and to nobody else."""
-        wanted = self.roster.plan(self.clock.now_ms()).addresses
+        wanted = self.membership.plan_links(self.clock.now_ms()).addresses
         for vm in set(self.link.addresses) - set(wanted):
             logs.event('peer_unlinked', vm=vm)
             self.link.disconnect(vm)
--- a/eelgrassknot/forwarding/peer_load.py
+++ b/eelgrassknot/forwarding/peer_load.py
@@ -10,17 +10,17 @@
 from eelgrassknot.policy import commitments
 from eelgrassknot.policy import plain
 
-__all__ = ['PeerTally', 'Teller', 'engine_entries']
+__all__ = ['PeerLoad', 'LoadSource', 'engine_entries']
 
-CALLS_LIVE_MS = 1_500.0
+CALLS_TTL_MS = 1_500.0
 """Plain calls that were told longer ago are over; ms. Three times the
 longest pause between two messages of a zone of ten."""
 
-Teller = tuple[str, str]
+LoadSource = tuple[str, str]
 """Whose sums they are: ``('vm', name)`` or ``('zone', name)``."""
 
 
-class PeerTally:
+class PeerLoad:
     """Sums of other VMs, each told by the VM or by a gateway of its zone.
 
     Args:
@@ -31,22 +31,26 @@
 
     def __init__(
         self,
-        desk: engine_scheduler.EngineDesk,
+        scheduler: engine_scheduler.EngineScheduler,
         plain_pool: plain.PlainPool,
         loop: loops.EventLoop,
     ) -> None:
-        self.desk = desk
+        self.scheduler = scheduler
         self.plain_pool = plain_pool
         self.loop = loop
-        self.calls: dict[Teller, tuple[float, dict[ids.UpstreamId, int]]] = {}
+        self.calls: dict[
+            LoadSource, tuple[float, dict[ids.UpstreamId, int]]
+        ] = {}
 
     @property
-    def book(self) -> commitments.Commitments:
+    def commitment_totals(self) -> commitments.Commitments:
         """Sums of runs, which placement reads."""
-        return self.desk.queue.commitments
+        return self.scheduler.queue.commitments
 
-    def take(
-        self, teller: Teller, news: messages.EntryNews | messages.ZoneNews
+    def update(
+        self,
+        source: LoadSource,
+        message: messages.EntryNews | messages.ZoneNews,
     ) -> None:
         """Replace what was known of a VM or zone."""
         sums = {
@@ -56,38 +60,38 @@
                 entry.copy_tokens,
                 entry.unread_tokens,
             )
-            for entry in news.engines
+            for entry in message.engines
         }
         now_ms = self.loop.now_ms()
-        self.book.take_peer(teller, sums, now_ms)
-        self.calls[teller] = (now_ms, dict(news.calls))
-        self.plain_pool.others = self._calls(None)
-        if self.desk.queue.waiting:
-            self.desk.step_soon()
+        self.commitment_totals.take_peer(source, sums, now_ms)
+        self.calls[source] = (now_ms, dict(message.calls))
+        self.plain_pool.others = self._count_calls(None)
+        if self.scheduler.queue.waiting:
+            self.scheduler.schedule_step()
 
-    def engines(
+    def engine_sums(
         self,
-        tellers: collections.abc.Collection[Teller] = (),
+        sources: collections.abc.Collection[LoadSource] = (),
     ) -> dict[ids.UpstreamId, commitments.EngineSums]:
         """Return the sums of this VM and some others by engine."""
-        return self.book.all_sums(self.loop.now_ms(), tellers)
+        return self.commitment_totals.all_sums(self.loop.now_ms(), sources)
 
     def running_calls(
-        self, tellers: collections.abc.Collection[Teller] = ()
+        self, sources: collections.abc.Collection[LoadSource] = ()
     ) -> dict[ids.UpstreamId, int]:
         """Return the plain calls of this VM and some others."""
-        calls = self._calls(tellers)
+        calls = self._count_calls(sources)
         calls.update(self.plain_pool.running)
         return {upstream: count for upstream, count in calls.items() if count}
 
-    def _calls(
-        self, tellers: collections.abc.Collection[Teller] | None
+    def _count_calls(
+        self, sources: collections.abc.Collection[LoadSource] | None
     ) -> collections.Counter:
         now_ms = self.loop.now_ms()
         total: collections.Counter = collections.Counter()
-        for teller, (told_ms, calls) in self.calls.items():
-            is_asked = tellers is None or teller in tellers
-            if is_asked and now_ms - told_ms <= CALLS_LIVE_MS:
+        for source, (received_ms, calls) in self.calls.items():
+            is_included = sources is None or source in sources
+            if is_included and now_ms - received_ms <= CALLS_TTL_MS:
                 total.update(calls)
         return total
 
--- a/eelgrassknot/forwarding/replicated_state.py
+++ b/eelgrassknot/forwarding/replicated_state.py
@@ -26,28 +26,28 @@
 from eelgrassknot import logs
 from eelgrassknot.settings import entry as entry_settings
 
-__all__ = ['Knowledge', 'Listener']
+__all__ = ['ReplicatedState', 'Listener']
 
 CONFIG_WAIT_MS = 1_500.0
 """How long one call waits for a new state; ms. Two of them, and their
 answers, fit into the least bound on revoked keys."""
 UPSTREAMS_WAIT_MS = 2_500.0
 """How long one call waits for a change of the upstreams; ms."""
-BEHIND_MS = 30.0
+FETCH_DELAY_MS = 30.0
 """Time that this VM's own watch has to bring what a peer knows; ms."""
 STALE_MARGIN_MS = 700.0
 """A table that nobody has confirmed for so much longer than a watch waits
 is watched here; ms. Covers an answer, and a message of a peer."""
-STALE_RANK_MS = 150.0
+STALE_RANK_DELAY_MS = 150.0
 """Each further VM of a zone waits so much longer before it watches as well;
 ms. An answer of the store and a message of a peer take less."""
-STALE_RANKS = 6
+MAX_DELAYED_RANK = 6
 """VMs beyond this rank wait no longer than it; the margin that they leave
 is half of the least bound on revoked keys."""
-SETTLE_MS = 1_000.0
+STARTUP_GRACE_MS = 1_000.0
 """Time from the start until a VM watches what it has read, unless peers do
 already; ms. They are found within it."""
-STEP_MS = 250.0
+POLL_INTERVAL_MS = 250.0
 """How often time-outs of the directory are looked at; ms."""
 
 
@@ -65,25 +65,29 @@
     def upstream_leaving(self, upstream: str) -> None:
         """An upstream is about to leave or has left."""
 
-    def peer_told(self, vm: ids.VmId, news: messages.EntryNews) -> None:
+    def peer_load_received(
+        self, vm: ids.VmId, message: messages.EntryNews
+    ) -> None:
         """A peer has told of its load."""
 
-    def zone_told(self, vm: ids.VmId, news: messages.ZoneNews) -> None:
+    def zone_load_received(
+        self, vm: ids.VmId, message: messages.ZoneNews
+    ) -> None:
         """A gateway has told of the load of a zone."""
 
 
 @dataclasses.dataclass
-class _Table:
+class _ReplicatedTable:
     """One table and what is done with its changes."""
 
-    mirror: table_replica.TableMirror
-    apply: collections.abc.Callable[[table_replica.Changes], None]
+    replica: table_replica.TableReplica
+    apply: collections.abc.Callable[[table_replica.ChangeSet], None]
     watch: table_watch.TableWatch | None = None
     fetching: bool = False
     is_watched: bool = True
 
 
-class Knowledge:
+class ReplicatedState:
     """Tables of the store, watched here or told by peers.
 
     Args:
@@ -113,52 +117,56 @@
         self.generator = generator
         self.listener = listener
         self.store_clock = access.StoreClock()
-        self.access_book = access.AccessBook(settings.rules.revoke_ms)
-        self.directory = upstream_directory.UpstreamDirectory(self._leaving)
-        self.settled_ms = float('-inf')
+        self.authenticator = access.KeyAuthenticator(settings.rules.revoke_ms)
+        self.directory = upstream_directory.UpstreamDirectory(
+            self._notify_leaving
+        )
+        self.watch_from_ms = float('-inf')
         self.tables = {
-            dialect.config_table: _Table(
-                table_replica.TableMirror(), self._apply_config
+            dialect.config_table: _ReplicatedTable(
+                table_replica.TableReplica(), self._apply_config
             ),
-            dialect.upstreams_table: _Table(
-                table_replica.TableMirror(), self._apply_upstreams
+            dialect.upstreams_table: _ReplicatedTable(
+                table_replica.TableReplica(), self._apply_upstreams
             ),
         }
         waits = (CONFIG_WAIT_MS, UPSTREAMS_WAIT_MS)
         for name, wait_ms in zip(self.tables, waits, strict=True):
-            self.tables[name].watch = self._watch(name, wait_ms)
-        self.board = peer_discovery.PeerBoard(
+            self.tables[name].watch = self._create_watch(name, wait_ms)
+        self.peers = peer_discovery.PeerDiscovery(
             ids.VmId(settings.vm),
             ids.AvailabilityZoneId(settings.availability_zone),
             settings.listen.peers,
             dialect.open_store(settings.listen.store),
             loop.clock,
             random.Random(ids.random_id()),
-            self._prepare_link,
+            self._register_handlers,
         )
 
     @property
     def is_complete(self) -> bool:
         """Whether every table was read at least once."""
-        return all(t.mirror.mark is not None for t in self.tables.values())
+        return all(
+            t.replica.watermark is not None for t in self.tables.values()
+        )
 
     def start(self) -> None:
         """Begin to watch and to look for peers."""
         for table in self.tables.values():
             table.watch.start()
-        self.board.start()
-        self.settled_ms = self.loop.now_ms() + SETTLE_MS
-        self.loop.call_later(STEP_MS, self._step)
+        self.peers.start()
+        self.watch_from_ms = self.loop.now_ms() + STARTUP_GRACE_MS
+        self.loop.call_later(POLL_INTERVAL_MS, self._poll)
 
-    def marks(self) -> tuple[messages.TableMark, ...]:
+    def watermarks(self) -> tuple[messages.TableMark, ...]:
         """Return what peers are told of the tables."""
         return tuple(
-            _told_mark(name, table.mirror.mark)
+            _encode_watermark(name, table.replica.watermark)
             for name, table in self.tables.items()
-            if table.mirror.mark is not None
+            if table.replica.watermark is not None
         )
 
-    def newest(self) -> tuple[tuple[str, float], ...]:
+    def urgent_versions(self) -> tuple[tuple[str, float], ...]:
         """Return what peers are to be told of at once.
 
         A VM that watches a table tells each confirmation of it; others
@@ -167,17 +175,19 @@
         return tuple(
             (
                 name,
-                table.mirror.mark.store_ms
-                if table.watch.wanted
-                else table.mirror.mark.changed,
+                table.replica.watermark.store_ms
+                if table.watch.active
+                else table.replica.watermark.last_change,
             )
             for name, table in self.tables.items()
-            if table.mirror.mark is not None
+            if table.replica.watermark is not None
         )
 
     # The store
 
-    def _watch(self, name: str, wait_ms: float) -> table_watch.TableWatch:
+    def _create_watch(
+        self, name: str, wait_ms: float
+    ) -> table_watch.TableWatch:
         table = self.tables[name]
         return table_watch.TableWatch(
             self.dialect.open_store(self.settings.listen.store),
@@ -185,44 +195,50 @@
             wait_ms,
             self.loop.clock,
             random.Random(ids.random_id()),
-            lambda news: self.loop.call_soon(
-                functools.partial(self._take_news, news)
+            lambda event: self.loop.call_soon(
+                functools.partial(self._handle_watch_event, event)
             ),
-            functools.partial(_position, table),
+            functools.partial(_resume_version, table),
         )
 
-    def _take_news(self, news: table_watch.News) -> None:
-        match news:
+    def _handle_watch_event(self, event: table_watch.WatchEvent) -> None:
+        match event:
             case table_watch.WatchFailed(table, error, True):
                 logs.warning('store_lost', table=table, why=str(error))
-            case table_watch.TableNews():
-                self._take_page(news)
-
-    def _take_page(self, news: table_watch.TableNews) -> None:
-        if news.returned:
-            logs.event('store_regained', table=news.table)
-            self.directory.store_returned(self.loop.now_ms())
-        page = news.page
-        self.store_clock.observe(news.sent_ms, news.received_ms, page.store_ms)
-        table = self.tables[news.table]
-        if news.after is None:
-            changes = table.mirror.take_whole(page, page.version)
+            case table_watch.PageReceived():
+                self._handle_page(event)
+
+    def _handle_page(self, event: table_watch.PageReceived) -> None:
+        if event.recovered:
+            logs.event('store_regained', table=event.table)
+            self.directory.record_store_recovery(self.loop.now_ms())
+        page = event.page
+        self.store_clock.observe(
+            event.sent_ms, event.received_ms, page.store_ms
+        )
+        table = self.tables[event.table]
+        if event.after is None:
+            changes = table.replica.apply_snapshot(page, page.version)
         else:
-            changes = table.mirror.take_changes(news.after, page)
-        self._apply(news.table, changes)
+            changes = table.replica.apply_changes(event.after, page)
+        self._apply(event.table, changes)
         # Before the watch's thread decides on its next call.
-        table.watch.wanted = self._should_watch(news.table)
+        table.watch.active = self._should_watch(event.table)
 
-    def _apply(self, name: str, changes: table_replica.Changes | None) -> None:
+    def _apply(
+        self, name: str, changes: table_replica.ChangeSet | None
+    ) -> None:
         table = self.tables[name]
-        if changes is not None and (changes.put or changes.removed):
+        if changes is not None and (changes.updated or changes.removed):
             table.apply(changes)
-        if name == self.dialect.config_table and table.mirror.mark:
-            as_of_ms = self.store_clock.local_ms(table.mirror.mark.store_ms)
-            self.access_book.confirm(as_of_ms)
+        if name == self.dialect.config_table and table.replica.watermark:
+            as_of_ms = self.store_clock.local_ms(
+                table.replica.watermark.store_ms
+            )
+            self.authenticator.confirm(as_of_ms)
 
-    def _apply_config(self, changes: table_replica.Changes) -> None:
-        for row in changes.put:
+    def _apply_config(self, changes: table_replica.ChangeSet) -> None:
+        for row in changes.updated:
             if row.key != self.dialect.config_key:
                 continue
             match self.dialect.decode_state(row.value):
@@ -232,11 +248,11 @@
                 case result.Err(error):
                     logs.error('state_unreadable', why=str(error))
 
-    def _apply_upstreams(self, changes: table_replica.Changes) -> None:
+    def _apply_upstreams(self, changes: table_replica.ChangeSet) -> None:
         now_ms = self.loop.now_ms()
         for key in changes.removed:
             self.directory.remove(key, now_ms)
-        for row in changes.put:
+        for row in changes.updated:
             match self.dialect.decode_upstream(
                 row.key, row.value, self.settings.regions
             ):
@@ -247,7 +263,7 @@
                     self.directory.remove(row.key, now_ms)
         self.listener.upstreams_changed(self.directory)
 
-    def _leaving(self, upstream: str) -> None:
+    def _notify_leaving(self, upstream: str) -> None:
         # In a later round, when no new work is placed there any more.
         self.loop.call_soon(
             functools.partial(self.listener.upstream_leaving, upstream)
@@ -255,67 +271,75 @@
 
     # Peers
 
-    def _prepare_link(self, link: peer_link.PeerLink) -> None:
-        for kind, take in (
-            (messages.EntryNews, self._take_peer),
-            (messages.ZoneNews, self._take_zone),
+    def _register_handlers(self, link: peer_link.PeerLink) -> None:
+        for kind, handler in (
+            (messages.EntryNews, self._receive_peer_load),
+            (messages.ZoneNews, self._receive_zone_load),
         ):
-            link.on_message(kind, functools.partial(self._in_loop, take))
+            link.on_message(
+                kind, functools.partial(self._post_to_loop, handler)
+            )
         link.on_query(messages.RowsFetch, self._answer_fetch)
 
-    def _in_loop(
+    def _post_to_loop(
         self,
-        take: collections.abc.Callable[[ids.VmId, messages.Message], None],
+        handler: collections.abc.Callable[[ids.VmId, messages.Message], None],
         envelope: messages.Envelope,
     ) -> None:
         self.loop.call_soon(
-            functools.partial(take, envelope.vm, envelope.message)
+            functools.partial(handler, envelope.vm, envelope.message)
         )
 
-    def _take_peer(self, vm: ids.VmId, news: messages.EntryNews) -> None:
-        self.board.heard(vm)
-        self._take_marks(vm, news.marks)
-        self.listener.peer_told(vm, news)
+    def _receive_peer_load(
+        self, vm: ids.VmId, message: messages.EntryNews
+    ) -> None:
+        self.peers.record_contact(vm)
+        self._receive_watermarks(vm, message.marks)
+        self.listener.peer_load_received(vm, message)
 
-    def _take_zone(self, vm: ids.VmId, news: messages.ZoneNews) -> None:
-        self.board.heard(vm)
-        self._take_marks(vm, news.marks)
-        self.listener.zone_told(vm, news)
+    def _receive_zone_load(
+        self, vm: ids.VmId, message: messages.ZoneNews
+    ) -> None:
+        self.peers.record_contact(vm)
+        self._receive_watermarks(vm, message.marks)
+        self.listener.zone_load_received(vm, message)
 
-    def _take_marks(
+    def _receive_watermarks(
         self, vm: ids.VmId, marks: tuple[messages.TableMark, ...]
     ) -> None:
-        for told in marks:
-            table = self.tables.get(told.table)
+        for remote in marks:
+            table = self.tables.get(remote.table)
             if table is None:
                 continue
-            mark = table_replica.Mark(
-                told.version, told.changed, told.store_ms
+            watermark = table_replica.Watermark(
+                remote.version, remote.changed, remote.store_ms
             )
-            if table.mirror.confirm(mark):
-                self._apply(told.table, None)
+            if table.replica.confirm(watermark):
+                self._apply(remote.table, None)
             elif not table.fetching:
                 table.fetching = True
                 self.loop.call_later(
-                    BEHIND_MS, functools.partial(self._fetch, vm, told)
+                    FETCH_DELAY_MS, functools.partial(self._fetch, vm, remote)
                 )
 
-    def _fetch(self, vm: ids.VmId, told: messages.TableMark) -> None:
+    def _fetch(self, vm: ids.VmId, remote: messages.TableMark) -> None:
         """Ask a peer for a table unless it was read meanwhile."""
-        table = self.tables[told.table]
+        table = self.tables[remote.table]
         table.fetching = False
-        if table.mirror.covers(told.changed) or self.board.link is None:
+        if table.replica.covers(remote.changed) or self.peers.link is None:
             return
-        mark = table.mirror.mark
-        query = messages.RowsFetch(told.table, mark.version if mark else 0)
-        future = self.board.link.ask(vm, query)
+        watermark = table.replica.watermark
+        query = messages.RowsFetch(
+            remote.table, watermark.version if watermark else 0
+        )
+        future = self.peers.link.ask(vm, query)
         future.add_done_callback(
             lambda done: self.loop.call_soon(
-                functools.partial(self._take_reply, done)
+                functools.partial(self._receive_reply, done)
             )
         )
 
-    def _take_reply(self, done: concurrent.futures.Future) -> None:
+    def _receive_reply(self, done: concurrent.futures.Future) -> None:
         if done.cancelled():
             return
         reply = done.result()
@@ -328,63 +352,79 @@
             row_store.StoreRow(e.key, e.value, e.version, False)
             for e in entries
         )
-        mark = reply.mark
-        page = row_store.RowPage(rows, mark.version, mark.store_ms)
-        table = self.tables[mark.table]
-        logs.event('table_from_peer', table=mark.table, version=mark.version)
-        self._apply(mark.table, table.mirror.take_whole(page, mark.changed))
+        watermark = reply.mark
+        page = row_store.RowPage(rows, watermark.version, watermark.store_ms)
+        table = self.tables[watermark.table]
+        logs.event(
+            'table_from_peer', table=watermark.table, version=watermark.version
+        )
+        self._apply(
+            watermark.table,
+            table.replica.apply_snapshot(page, watermark.changed),
+        )
 
     def _answer_fetch(
         self, _vm: ids.VmId, query: messages.RowsFetch
     ) -> messages.RowsReply:
-        mirror = self.tables[query.table].mirror
-        mark, rows = mirror.mark, list(mirror.rows.values())
-        if mark is None or mark.version <= query.version:
-            told = _told_mark(query.table, mark or _NOTHING)
-            return messages.RowsReply(told, None)
+        replica = self.tables[query.table].replica
+        watermark, rows = replica.watermark, list(replica.rows.values())
+        if watermark is None or watermark.version <= query.version:
+            remote = _encode_watermark(
+                query.table, watermark or _EMPTY_WATERMARK
+            )
+            return messages.RowsReply(remote, None)
         entries = [
             messages.RowEntry(row.key, row.value, row.version) for row in rows
         ]
         packed = zlib.compress(msgspec.msgpack.encode(entries))
-        return messages.RowsReply(_told_mark(query.table, mark), packed)
+        return messages.RowsReply(
+            _encode_watermark(query.table, watermark), packed
+        )
 
     # Time
 
-    def _step(self) -> None:
+    def _poll(self) -> None:
         now_ms = self.loop.now_ms()
         before = len(self.directory.upstreams)
-        self.directory.step(now_ms)
+        self.directory.expire(now_ms)
         if len(self.directory.upstreams) != before:
             self.listener.upstreams_changed(self.directory)
         for name, table in self.tables.items():
-            table.watch.wanted = self._should_watch(name)
-        self.loop.call_later(STEP_MS, self._step)
+            table.watch.active = self._should_watch(name)
+        self.loop.call_later(POLL_INTERVAL_MS, self._poll)
 
     def _should_watch(self, name: str) -> bool:
         """Return whether this VM watches a table for its zone's peers."""
-        mark = self.tables[name].mirror.mark
-        if mark is None:
+        watermark = self.tables[name].replica.watermark
+        if watermark is None:
             return True
         now_ms = self.loop.now_ms()
-        if now_ms < self.settled_ms:
+        if now_ms < self.watch_from_ms:
             return False
-        members = self.board.zone_members()
+        members = self.peers.zone_members()
         rank = rendezvous.ranked(name, members).index(self.settings.vm)
         if rank == 0:
             return True
-        age_ms = now_ms - self.store_clock.local_ms(mark.store_ms)
+        age_ms = now_ms - self.store_clock.local_ms(watermark.store_ms)
         stale_ms = self.tables[name].watch.wait_ms + STALE_MARGIN_MS
-        return age_ms > stale_ms + min(rank, STALE_RANKS) * STALE_RANK_MS
+        return (
+            age_ms
+            > stale_ms + min(rank, MAX_DELAYED_RANK) * STALE_RANK_DELAY_MS
+        )
 
 
-_NOTHING = table_replica.Mark(0, 0, 0.0)
+_EMPTY_WATERMARK = table_replica.Watermark(0, 0, 0.0)
 
 
-def _position(table: _Table) -> int | None:
+def _resume_version(table: _ReplicatedTable) -> int | None:
     """Return the version after which changes are wanted."""
-    mark = table.mirror.mark
-    return None if mark is None else mark.version
+    watermark = table.replica.watermark
+    return None if watermark is None else watermark.version
 
 
-def _told_mark(name: str, mark: table_replica.Mark) -> messages.TableMark:
-    return messages.TableMark(name, mark.version, mark.changed, mark.store_ms)
+def _encode_watermark(
+    name: str, watermark: table_replica.Watermark
+) -> messages.TableMark:
+    return messages.TableMark(
+        name, watermark.version, watermark.last_change, watermark.store_ms
+    )
--- a/eelgrassknot/forwarding/settings_reload.py
+++ b/eelgrassknot/forwarding/settings_reload.py
@@ -10,7 +10,7 @@
 
 __all__ = ['Reloader']
 
-CHECK_MS = 2_000.0
+CHECK_INTERVAL_MS = 2_000.0
 """How often the file is looked at; ms. Changes need not be announced."""
 
 
@@ -44,15 +44,15 @@
         self.path = path
         self.settings = settings
         self.daemon = daemon
-        self.seen = self._look()
+        self.last_signature = self._file_signature()
 
     def start(self) -> None:
         """Begin to look at the file."""
-        self.daemon.loop.call_later(CHECK_MS, self._check)
+        self.daemon.loop.call_later(CHECK_INTERVAL_MS, self._reload_if_changed)
 
     def reload(self) -> None:
         """Read the file and put what has changed in force."""
-        self.seen = self._look()
+        self.last_signature = self._file_signature()
         try:
             loaded = entry_settings.load(self.path)
         except exceptions.SettingsError as error:
@@ -71,12 +71,12 @@
         if changed:
             self.daemon.settings_changed(loaded)
 
-    def _check(self) -> None:
-        self.daemon.loop.call_later(CHECK_MS, self._check)
-        if self._look() != self.seen:
+    def _reload_if_changed(self) -> None:
+        self.daemon.loop.call_later(CHECK_INTERVAL_MS, self._reload_if_changed)
+        if self._file_signature() != self.last_signature:
             self.reload()
 
-    def _look(self) -> tuple[float, int] | None:
+    def _file_signature(self) -> tuple[float, int] | None:
         """Return what changes with the file, or None if it is not there."""
         try:
             found = pathlib.Path(self.path).stat()
--- a/eelgrassknot/forwarding/state_check.py
+++ b/eelgrassknot/forwarding/state_check.py
@@ -21,7 +21,7 @@
     """
     return [
         *_route_faults(state),
-        *_twins(state),
+        *_duplicate_routes(state),
         *_account_faults(state),
     ]
 
@@ -97,7 +97,7 @@
     return found
 
 
-def _twins(state: model.DeploymentState) -> list[faults.Fault]:
+def _duplicate_routes(state: model.DeploymentState) -> list[faults.Fault]:
     """Return the routes that another one of the same host hides."""
     found = []
     seen: dict[tuple[str, str], str] = {}
--- a/eelgrassknot/forwarding/stream_driver.py
+++ b/eelgrassknot/forwarding/stream_driver.py
@@ -22,11 +22,11 @@
 
 __all__ = ['StreamDriver']
 
-MIN_SERVICE_MS = 400.0
+MIN_REMAINING_MS = 400.0
 """A stream that has less time left than this is not worth an engine; ms."""
 UNKNOWN_PROMPT_TOKENS = 1_000
 """Prompt size that is assumed where a request does not say it."""
-SUCCESS = range(200, 300)
+SUCCESS_STATUSES = range(200, 300)
 
 
 class _StreamAttempt(upstream_connection.AttemptListener):
@@ -40,10 +40,10 @@
         self.splitter = sse.EventSplitter()
         self.status = 0
         self.headers: list[tuple[bytes, bytes]] = []
-        self.plain_body: bytearray | None = None
-        self.wire: upstream_connection.Attempt | None = None
+        self.buffered_body: bytearray | None = None
+        self.upstream_attempt: upstream_connection.Attempt | None = None
 
-    def answer_started(
+    def response_started(
         self,
         attempt: upstream_connection.Attempt,
         status: int,
@@ -52,33 +52,33 @@
         """Take in the head of an answer."""
         self.status = status
         self.headers = headers
-        genuine = self.driver.context.dialect.is_genuine(headers)
-        if status in SUCCESS and genuine:
-            self.driver.tell(messages.Headed(self.number, True))
+        genuine = self.driver.context.dialect.is_signed(headers)
+        if status in SUCCESS_STATUSES and genuine:
+            self.driver.dispatch(messages.Headed(self.number, True))
         else:
             # Judged as a whole, since it may be of another's making.
-            self.plain_body = bytearray()
+            self.buffered_body = bytearray()
 
-    def answer_data(
+    def response_data(
         self, attempt: upstream_connection.Attempt, data: bytes
     ) -> None:
         """Take in a part of the body."""
-        if self.plain_body is not None:
-            self.plain_body += data
+        if self.buffered_body is not None:
+            self.buffered_body += data
             return
         for event in self.splitter.feed(data):
             index = sse.event_index(event)
-            self.driver.take_event(self, index, event)
+            self.driver.event_received(self, index, event)
 
-    def answer_ended(self, attempt: upstream_connection.Attempt) -> None:
+    def response_completed(self, attempt: upstream_connection.Attempt) -> None:
         """Take in that the answer is complete."""
-        if self.plain_body is not None:
-            self.driver.take_failure(self)
+        if self.buffered_body is not None:
+            self.driver.handle_unsuccessful_response(self)
             return
         if self.splitter.pending:
-            self.driver.take_event(self, None, self.splitter.pending)
-        self.driver.succeeded(self)
-        self.driver.tell(messages.Ended(self.number))
+            self.driver.event_received(self, None, self.splitter.pending)
+        self.driver.record_success(self)
+        self.driver.dispatch(messages.Ended(self.number))
 
     def attempt_failed(
         self,
@@ -87,7 +87,7 @@
         bytes_left: bool,
     ) -> None:
         """Take in that no more of the answer will come."""
-        self.driver.take_break(self, fault, bytes_left)
+        self.driver.handle_broken_attempt(self, fault, bytes_left)
 
 
 class StreamDriver(machine_driver.MachineDriver):
@@ -116,66 +116,70 @@
         self.attempts: dict[int, _StreamAttempt] = {}
         self.first_event_ms: float | None = None
         self.largest_gap_ms = 0.0
-        self.heard_ms = work.started_ms
-        self.move: kv_transfer.RunMove | None = None
+        self.last_event_ms = work.started_ms
+        self.transfer: kv_transfer.KvTransfer | None = None
 
     def start(self) -> None:
         """Place the stream."""
-        self.work.exchange.gone = self._end
+        self.work.exchange.on_abort = self._finish
         self.context.budget(self.work.service.name).earn()
-        self.context.desk.streams.add(self)
+        self.context.scheduler.streams.add(self)
         self._place(frozenset())
-        self.arm()
+        self.schedule_timeout()
 
     def upstream_leaving(self, upstream: str) -> None:
         """Take in that an upstream is about to leave or has left."""
-        self.tell(messages.UpstreamLeaving(upstream))
+        self.dispatch(messages.UpstreamLeaving(upstream))
 
     # What attempts tell
 
-    def tell(self, event: messages.Event) -> None:
+    def dispatch(self, event: messages.Event) -> None:
         """Tell the state machine and do what it wants."""
         for action in self.machine.handle(event, self.now_ms()):
-            self._act(action)
-        self.arm()
+            self._execute(action)
+        self.schedule_timeout()
 
-    def take_event(
+    def event_received(
         self, attempt: _StreamAttempt, index: int | None, data: bytes
     ) -> None:
         """Take in a whole event."""
-        self.tell(messages.Received(attempt.number, index, data))
+        self.dispatch(messages.Received(attempt.number, index, data))
 
-    def take_failure(self, attempt: _StreamAttempt) -> None:
+    def handle_unsuccessful_response(self, attempt: _StreamAttempt) -> None:
         """Take in a whole answer that is not a genuine success."""
-        if self.context.dialect.says_not_run(attempt.status, attempt.headers):
+        if self.context.dialect.declares_not_executed(
+            attempt.status, attempt.headers
+        ):
             self._log_attempt(attempt, f'not_run_{attempt.status}')
-            self.tell(messages.NotRun(attempt.number))
+            self.dispatch(messages.NotRun(attempt.number))
             return
-        if not self.context.dialect.is_genuine(attempt.headers):
-            self.take_break(attempt, upstream_connection.Fault.MALFORMED, True)
+        if not self.context.dialect.is_signed(attempt.headers):
+            self.handle_broken_attempt(
+                attempt, upstream_connection.Fault.MALFORMED, True
+            )
             return
-        self.context.book.failed(attempt.upstream.upstream, self.now_ms())
+        self.context.health.failed(attempt.upstream.upstream, self.now_ms())
         self._log_attempt(attempt, f'status_{attempt.status}')
-        self.tell(messages.Headed(attempt.number, False))
+        self.dispatch(messages.Headed(attempt.number, False))
 
-    def take_break(
+    def handle_broken_attempt(
         self,
         attempt: _StreamAttempt,
         fault: upstream_connection.Fault,
         bytes_left: bool,
     ) -> None:
         """Take in that an attempt ended early."""
-        self.context.book.failed(attempt.upstream.upstream, self.now_ms())
+        self.context.health.failed(attempt.upstream.upstream, self.now_ms())
         self._log_attempt(attempt, fault.value)
-        self.tell(messages.Broken(attempt.number, bytes_left))
+        self.dispatch(messages.Broken(attempt.number, bytes_left))
 
-    def succeeded(self, attempt: _StreamAttempt) -> None:
+    def record_success(self, attempt: _StreamAttempt) -> None:
         """Take in that an attempt was answered in full."""
-        self.context.book.succeeded(attempt.upstream.upstream)
+        self.context.health.succeeded(attempt.upstream.upstream)
 
     # What the state machine wants
 
-    def _act(self, action: messages.Action) -> None:
+    def _execute(self, action: messages.Action) -> None:
         match action:
             case messages.Place(failed):
                 self._place(failed)
@@ -184,26 +188,26 @@
             case messages.Cancel(attempt):
                 self._cancel(attempt)
             case messages.PlaceMove():
-                self._begin_move(action)
+                self._place_transfer(action)
             case messages.Move(source, target):
-                self._move(source, target)
+                self._start_transfer(source, target)
             case messages.StartAnswer(attempt):
                 self._start_answer(self.attempts[attempt])
             case messages.Forward(data):
                 self._forward(data)
             case messages.Finish():
                 self.work.exchange.finish()
-                self._end('complete')
+                self._finish('complete')
             case messages.BreakOff(reason):
-                self.work.exchange.break_off()
-                self._end(reason)
+                self.work.exchange.abort()
+                self._finish(reason)
             case messages.Fail():
                 self._fail(action)
 
     def _place(self, failed: frozenset[str]) -> None:
-        counted = self.context.desk.commitment(self.work.request)
+        counted = self.context.scheduler.commitment(self.work.request)
         produced = counted.produced_tokens if counted else 0
-        self.context.desk.release(self.work.request)
+        self.context.scheduler.release(self.work.request)
         profile = self.work.headers.generation
         prompt = UNKNOWN_PROMPT_TOKENS
         output = UNKNOWN_PROMPT_TOKENS
@@ -213,7 +217,7 @@
                 profile.max_output_tokens, profile.output_hint
             )
         need = engine_pairs.Need(
-            self.context.desk.region,
+            self.context.scheduler.region,
             prompt,
             max(0, output - produced),
             self.machine.rules.can_copy and not self.machine.rules.resumable,
@@ -221,40 +225,42 @@
         order = engine_queue.Order(
             self.work.request,
             self.work.service.name,
-            self.work.rank,
+            self.work.priority,
             need,
             failed,
-            self.work.deadline_ms - MIN_SERVICE_MS,
+            self.work.deadline_ms - MIN_REMAINING_MS,
         )
-        self.context.desk.submit(order, self._placed)
+        self.context.scheduler.submit(order, self._on_placed)
 
-    def _placed(
-        self, told: engine_queue.Placement | engine_queue.Refusal
+    def _on_placed(
+        self, outcome: engine_queue.Placement | engine_queue.Refusal
     ) -> None:
-        if isinstance(told, engine_queue.Refusal):
-            self.tell(
+        if isinstance(outcome, engine_queue.Refusal):
+            self.dispatch(
                 messages.Refused(
-                    states.RefusalReason.NO_UPSTREAM, told.retry_after_ms
+                    states.RefusalReason.NO_UPSTREAM, outcome.retry_after_ms
                 )
             )
             return
-        upstream = self.context.desk.upstreams.get(told.engine.upstream)
+        upstream = self.context.scheduler.upstreams.get(
+            outcome.engine.upstream
+        )
         if upstream is None:
-            self._place(frozenset([told.engine.upstream]))
+            self._place(frozenset([outcome.engine.upstream]))
             return
-        self.tell(messages.Placed(upstream))
+        self.dispatch(messages.Placed(upstream))
 
     def _send(self, send: messages.Send) -> None:
         if send.is_repeat:
             self.context.budget(self.work.service.name).spend()
         attempt = _StreamAttempt(self, send)
         self.attempts[send.attempt] = attempt
-        counted = self.context.desk.commitment(self.work.request)
+        counted = self.context.scheduler.commitment(self.work.request)
         if counted is not None:
             counted.upstream = send.upstream.upstream
             counted.copy = None
         if send.wants_copy:
-            attempt.copy = self.context.desk.place_copy(
+            attempt.copy = self.context.scheduler.place_copy(
                 self.work.request, send.upstream
             )
             self.machine.handle(
@@ -262,7 +268,7 @@
                 self.now_ms(),
             )
         now_ms = self.now_ms()
-        sums = self.context.desk.queue.commitments.sums(
+        sums = self.context.scheduler.queue.commitments.sums(
             send.upstream.upstream, now_ms
         )
         logs.event(
@@ -278,19 +284,19 @@
             engine_tokens=sums.tokens + sums.copy_tokens,
             engine_unread=sums.unread_tokens,
         )
-        attempt.wire = works.send(
+        attempt.upstream_attempt = works.send(
             self.context,
             self.work,
             send.upstream,
             attempt,
-            functools.partial(self._facts, send, attempt),
+            functools.partial(self._metadata, send, attempt),
             not self.work.route.is_idempotent,
         )
 
-    def _facts(
+    def _metadata(
         self, send: messages.Send, attempt: _StreamAttempt, left_ms: float
-    ) -> dialect.ForwardingFacts:
-        return dialect.ForwardingFacts(
+    ) -> dialect.ForwardingMetadata:
+        return dialect.ForwardingMetadata(
             send.upstream.upstream,
             left_ms,
             self.work.account,
@@ -301,29 +307,33 @@
 
     def _cancel(self, number: int) -> None:
         attempt = self.attempts.get(number)
-        if attempt is not None and attempt.wire is not None:
-            attempt.wire.cancel()
+        if attempt is not None and attempt.upstream_attempt is not None:
+            attempt.upstream_attempt.cancel()
 
-    def _begin_move(self, place: messages.PlaceMove) -> None:
-        target = self.context.desk.place_copy(
+    def _place_transfer(self, place: messages.PlaceMove) -> None:
+        target = self.context.scheduler.place_copy(
             self.work.request,
             place.source,
             place.refused,
             place.must_fit,
         )
         if target is None:
-            self.tell(messages.MoveEnded(None, None))
+            self.dispatch(messages.MoveEnded(None, None))
             return
-        self._move(place.source, target)
+        self._start_transfer(place.source, target)
 
-    def _move(self, source: model.Upstream, target: model.Upstream) -> None:
-        self.move = kv_transfer.RunMove(
+    def _start_transfer(
+        self, source: model.Upstream, target: model.Upstream
+    ) -> None:
+        self.transfer = kv_transfer.KvTransfer(
             self.context,
-            kv_transfer.Plan(self.work.request, source, target),
-            self._moved,
+            kv_transfer.TransferPlan(self.work.request, source, target),
+            self._on_transfer_done,
         )
 
-    def _moved(self, plan: kv_transfer.Plan, handle: str | None) -> None:
+    def _on_transfer_done(
+        self, plan: kv_transfer.TransferPlan, handle: str | None
+    ) -> None:
         logs.event(
             'run_copied',
             request=self.work.request,
@@ -333,15 +343,15 @@
         )
         outcome = 'made' if handle is not None else 'failed'
         metrics.COPIES.labels(outcome).inc()
-        self.tell(messages.MoveEnded(plan.target, handle))
+        self.dispatch(messages.MoveEnded(plan.target, handle))
 
     def _start_answer(self, attempt: _StreamAttempt) -> None:
-        headers = self.context.dialect.answer_headers(attempt.headers)
-        if attempt.plain_body is not None:
+        headers = self.context.dialect.response_headers(attempt.headers)
+        if attempt.buffered_body is not None:
             self.work.exchange.respond(
-                attempt.status, headers, bytes(attempt.plain_body)
+                attempt.status, headers, bytes(attempt.buffered_body)
             )
-            self._end(f'status_{attempt.status}')
+            self._finish(f'status_{attempt.status}')
             return
         self.work.exchange.start(attempt.status, headers)
 
@@ -350,11 +360,11 @@
         if self.first_event_ms is None:
             self.first_event_ms = now_ms
         else:
-            gap_ms = now_ms - self.heard_ms
+            gap_ms = now_ms - self.last_event_ms
             self.largest_gap_ms = max(self.largest_gap_ms, gap_ms)
-        self.heard_ms = now_ms
+        self.last_event_ms = now_ms
         self.work.exchange.send(data)
-        counted = self.context.desk.commitment(self.work.request)
+        counted = self.context.scheduler.commitment(self.work.request)
         if counted is not None:
             counted.started = True
             engine = self.work.service.engine
@@ -363,7 +373,7 @@
     def _fail(self, action: messages.Fail) -> None:
         exchange = self.work.exchange
         if action.outcome is states.Outcome.NOT_RUN:
-            error_responses.refuse(
+            error_responses.send_error(
                 exchange,
                 503,
                 action.outcome,
@@ -372,21 +382,21 @@
             )
         else:
             late = action.reason == 'deadline'
-            error_responses.refuse(
+            error_responses.send_error(
                 exchange, 504 if late else 502, action.outcome, action.reason
             )
-        self._end(action.reason)
+        self._finish(action.reason)
 
-    def _end(self, reason: str) -> None:
-        self.disarm()
+    def _finish(self, reason: str) -> None:
+        self.cancel_timeout()
         for attempt in self.attempts.values():
-            if attempt.wire is not None:
-                attempt.wire.cancel()
-        if self.move is not None:
-            self.move.cancel()
-        self.context.desk.withdraw(self.work.request)
-        self.context.desk.release(self.work.request)
-        self.context.desk.streams.discard(self)
+            if attempt.upstream_attempt is not None:
+                attempt.upstream_attempt.cancel()
+        if self.transfer is not None:
+            self.transfer.cancel()
+        self.context.scheduler.withdraw(self.work.request)
+        self.context.scheduler.release(self.work.request)
+        self.context.scheduler.streams.discard(self)
         kind = self.work.route.kind.value
         metrics.REQUESTS.labels(kind, reason).inc()
         metrics.TAKEOVERS.inc(self.machine.takeovers)
@@ -421,4 +431,4 @@
 
     def tick(self) -> None:
         """Tell the stream that time has passed."""
-        self.tell(messages.Tick())
+        self.dispatch(messages.Tick())
--- a/eelgrassknot/forwarding/table_replica.py
+++ b/eelgrassknot/forwarding/table_replica.py
@@ -9,11 +9,11 @@
 
 from eelgrassknot.forwarding import row_store
 
-__all__ = ['Changes', 'Mark', 'TableMirror']
+__all__ = ['ChangeSet', 'Watermark', 'TableReplica']
 
 
 @dataclasses.dataclass(frozen=True)
-class Mark:
+class Watermark:
     """Up to when a table is known.
 
     Attributes:
@@ -23,19 +23,19 @@
     """
 
     version: int
-    changed: int
+    last_change: int
     store_ms: float
 
 
 @dataclasses.dataclass(frozen=True)
-class Changes:
+class ChangeSet:
     """What a page has changed."""
 
-    put: tuple[row_store.StoreRow, ...]
+    updated: tuple[row_store.StoreRow, ...]
     removed: tuple[str, ...]
 
 
-class TableMirror:
+class TableReplica:
     """Rows of one table, and up to when they are known.
 
     Attributes:
@@ -43,60 +43,64 @@
         mark: Up to when they are known, or None before the first page.
 
     Example:
-        >>> mirror = TableMirror()
+        >>> replica = TableReplica()
         >>> row = row_store.StoreRow('a', b'1', 5, False)
-        >>> mirror.take_whole(row_store.RowPage((row,), 7, 100.0), 7).put
+        >>> page = row_store.RowPage((row,), 7, 100.0)
+        >>> replica.apply_snapshot(page, 7).updated
         (StoreRow(key='a', value=b'1', version=5, deleted=False),)
-        >>> mirror.covers(7)
+        >>> replica.covers(7)
         True
     """
 
     def __init__(self) -> None:
         self.rows: dict[str, row_store.StoreRow] = {}
-        self.mark: Mark | None = None
+        self.watermark: Watermark | None = None
 
-    def covers(self, changed: int) -> bool:
+    def covers(self, version: int) -> bool:
         """Return whether a change of a version is known here."""
-        return self.mark is not None and changed <= self.mark.version
+        return self.watermark is not None and version <= self.watermark.version
 
-    def take_whole(
-        self, page: row_store.RowPage, changed: int
-    ) -> Changes | None:
+    def apply_snapshot(
+        self, page: row_store.RowPage, last_change: int
+    ) -> ChangeSet | None:
         """Take in the whole table; None if it is older than what is known.
 
         Args:
             page: All rows as of its version.
             changed: Version of the last change that is in them.
         """
-        if self.mark is not None and page.version < self.mark.version:
+        if (
+            self.watermark is not None
+            and page.version < self.watermark.version
+        ):
             return None
         listed = {row.key: row for row in page.rows}
         removed = tuple(key for key in self.rows if key not in listed)
         put = tuple(
             row
             for row in page.rows
-            if key_version(self.rows, row.key) != row.version
+            if row_version(self.rows, row.key) != row.version
         )
         self.rows = listed
-        self.mark = Mark(page.version, changed, page.store_ms)
-        return Changes(put, removed)
+        self.watermark = Watermark(page.version, last_change, page.store_ms)
+        return ChangeSet(put, removed)
 
-    def take_changes(
+    def apply_changes(
         self, after: int, page: row_store.RowPage
-    ) -> Changes | None:
+    ) -> ChangeSet | None:
         """Take in changes; None if some before them are missing.
 
         Args:
             after: Version after which the page has all changes.
             page: Changed rows up to its version, in order.
         """
-        if self.mark is None or after > self.mark.version:
+        if self.watermark is None or after > self.watermark.version:
             return None
         put: dict[str, row_store.StoreRow] = {}
         removed: dict[str, None] = {}
-        changed = self.mark.changed
+        changed = self.watermark.last_change
         for row in page.rows:
-            if row.version <= self.mark.version:
+            if row.version <= self.watermark.version:
                 continue
             changed = max(changed, row.version)
             if row.deleted:
@@ -107,28 +111,28 @@
                 self.rows[row.key] = row
                 removed.pop(row.key, None)
                 put[row.key] = row
-        if page.version >= self.mark.version:
-            store_ms = max(self.mark.store_ms, page.store_ms)
-            self.mark = Mark(page.version, changed, store_ms)
-        return Changes(tuple(put.values()), tuple(removed))
+        if page.version >= self.watermark.version:
+            store_ms = max(self.watermark.store_ms, page.store_ms)
+            self.watermark = Watermark(page.version, changed, store_ms)
+        return ChangeSet(tuple(put.values()), tuple(removed))
 
-    def confirm(self, mark: Mark) -> bool:
+    def confirm(self, watermark: Watermark) -> bool:
         """Take in a peer's mark; return whether nothing is missing here.
 
         Nothing has changed between the last change that the peer knows
         and its version, so a mirror that has that change knows as much.
         The version may be the same while the time is later.
         """
-        if not self.covers(mark.changed):
+        if not self.covers(watermark.last_change):
             return False
-        if mark.version >= self.mark.version:
-            store_ms = max(self.mark.store_ms, mark.store_ms)
-            changed = max(self.mark.changed, mark.changed)
-            self.mark = Mark(mark.version, changed, store_ms)
+        if watermark.version >= self.watermark.version:
+            store_ms = max(self.watermark.store_ms, watermark.store_ms)
+            changed = max(self.watermark.last_change, watermark.last_change)
+            self.watermark = Watermark(watermark.version, changed, store_ms)
         return True
 
 
-def key_version(rows: dict[str, row_store.StoreRow], key: str) -> int:
+def row_version(rows: dict[str, row_store.StoreRow], key: str) -> int:
     """Return the version of a row, or 0 if it is absent."""
     row = rows.get(key)
     return 0 if row is None else row.version
--- a/eelgrassknot/forwarding/table_watch.py
+++ b/eelgrassknot/forwarding/table_watch.py
@@ -13,17 +13,17 @@
 from eelgrassknot import logs
 from eelgrassknot.requests import backoff
 
-__all__ = ['TableNews', 'TableWatch', 'WatchFailed']
+__all__ = ['PageReceived', 'TableWatch', 'WatchFailed']
 
-UNWANTED_CHECK_MS = 50.0
+INACTIVE_POLL_MS = 50.0
 """How often a watch that is not wanted looks whether it is; ms."""
-TAKE_IN_MS = 10.0
+APPLY_DELAY_MS = 10.0
 RETRY_BASE_MS = 100.0
 RETRY_MAX_MS = 800.0
 
 
 @dataclasses.dataclass(frozen=True)
-class TableNews:
+class PageReceived:
     """The store answered.
 
     Attributes:
@@ -39,7 +39,7 @@
     after: int | None
     sent_ms: float
     received_ms: float
-    returned: bool
+    recovered: bool
 
 
 @dataclasses.dataclass(frozen=True)
@@ -55,7 +55,7 @@
     is_first: bool
 
 
-News = TableNews | WatchFailed
+WatchEvent = PageReceived | WatchFailed
 
 
 class TableWatch:
@@ -82,8 +82,8 @@
         wait_ms: float,
         clock: clocks.Clock,
         generator: random.Random,
-        deliver: collections.abc.Callable[[News], None],
-        position: collections.abc.Callable[[], int | None],
+        deliver: collections.abc.Callable[[WatchEvent], None],
+        resume_version: collections.abc.Callable[[], int | None],
     ) -> None:
         self.store = store
         self.table = table
@@ -91,12 +91,12 @@
         self.clock = clock
         self.generator = generator
         self.deliver = deliver
-        self.position = position
-        self.wanted = True
-        self.whole_next = True
+        self.resume_version = resume_version
+        self.active = True
+        self.needs_full_read = True
         self.failing = False
         self.stopped = threading.Event()
-        self.jitter = self._new_jitter()
+        self.backoff = self._create_backoff()
         self.thread = threading.Thread(
             target=self._run, name=f'watch-{table}', daemon=True
         )
@@ -118,10 +118,10 @@
                 self.stopped.wait(RETRY_MAX_MS / clocks.MS_PER_SECOND)
 
     def _step(self) -> None:
-        if not self.wanted:
-            self.stopped.wait(UNWANTED_CHECK_MS / clocks.MS_PER_SECOND)
+        if not self.active:
+            self.stopped.wait(INACTIVE_POLL_MS / clocks.MS_PER_SECOND)
             return
-        after = None if self.whole_next else self.position()
+        after = None if self.needs_full_read else self.resume_version()
         sent_ms = self.clock.now_ms()
         if after is None:
             found = self.store.read_table(self.table)
@@ -129,14 +129,14 @@
             found = self.store.read_feed(self.table, after, self.wait_ms)
         match found:
             case result.Ok(page):
-                self._take(page, after, sent_ms)
+                self._handle_page(page, after, sent_ms)
             case result.Err(row_store.HistoryGoneError()):
                 logs.event('history_gone', table=self.table)
-                self.whole_next = True
+                self.needs_full_read = True
             case result.Err(error):
-                self._fail(error)
+                self._handle_failure(error)
 
-    def _take(
+    def _handle_page(
         self, page: row_store.RowPage, after: int | None, sent_ms: float
     ) -> None:
         if after is not None and page.version < after:
@@ -148,24 +148,24 @@
             )
             return
         metrics.STORE_CALLS.labels('answered').inc()
-        self.whole_next = False
+        self.needs_full_read = False
         returned, self.failing = self.failing, False
-        self.jitter = self._new_jitter()
+        self.backoff = self._create_backoff()
         now_ms = self.clock.now_ms()
         self.deliver(
-            TableNews(self.table, page, after, sent_ms, now_ms, returned)
+            PageReceived(self.table, page, after, sent_ms, now_ms, returned)
         )
         # Gives the loop time to take the page in: the next call asks for
         # what comes after it.
-        self.stopped.wait(TAKE_IN_MS / clocks.MS_PER_SECOND)
+        self.stopped.wait(APPLY_DELAY_MS / clocks.MS_PER_SECOND)
 
-    def _fail(self, error: row_store.StoreError) -> None:
+    def _handle_failure(self, error: row_store.StoreError) -> None:
         metrics.STORE_CALLS.labels(error.code).inc()
         self.deliver(WatchFailed(self.table, error, not self.failing))
         self.failing = True
-        self.stopped.wait(self.jitter.next_ms() / clocks.MS_PER_SECOND)
+        self.stopped.wait(self.backoff.next_ms() / clocks.MS_PER_SECOND)
 
-    def _new_jitter(self) -> backoff.DecorrelatedJitter:
+    def _create_backoff(self) -> backoff.DecorrelatedJitter:
         return backoff.DecorrelatedJitter(
             self.generator, RETRY_BASE_MS, RETRY_MAX_MS
         )
--- a/eelgrassknot/forwarding/upstream_connection.py
+++ b/eelgrassknot/forwarding/upstream_connection.py
@@ -12,17 +12,17 @@
 from eelgrassknot import ids
 from eelgrassknot import logs
 
-__all__ = ['Attempt', 'AttemptListener', 'Fault', 'UpstreamLinks']
+__all__ = ['Attempt', 'AttemptListener', 'Fault', 'ConnectionPool']
 
 CONNECT_TIMEOUT_MS = 600.0
 """Longest wait for a new connection; ms. Ten round trips between regions."""
 IDLE_MS = 8_000.0
 """Longest time a connection to an upstream is kept unused; ms."""
-IDLE_SHARE = 0.8
+KEEP_ALIVE_FRACTION = 0.8
 """Part of the upstream's own Keep-Alive time that is used."""
-PROVEN_IDLE_MS = 1_000.0
+FRESH_IDLE_MS = 1_000.0
 """A connection unused for longer may have been dropped unseen; ms."""
-MAX_IDLE_EACH = 16
+MAX_IDLE_PER_UPSTREAM = 16
 MAX_HEAD_BYTES = 65_536
 
 Headers = list[tuple[bytes, bytes]]
@@ -39,15 +39,15 @@
 class AttemptListener:
     """Is told how an attempt goes; each method may be left out."""
 
-    def answer_started(
+    def response_started(
         self, attempt: 'Attempt', status: int, headers: Headers
     ) -> None:
         """The head of the answer has come."""
 
-    def answer_data(self, attempt: 'Attempt', data: bytes) -> None:
+    def response_data(self, attempt: 'Attempt', data: bytes) -> None:
         """A part of the body has come."""
 
-    def answer_ended(self, attempt: 'Attempt') -> None:
+    def response_completed(self, attempt: 'Attempt') -> None:
         """The answer is complete."""
 
     def attempt_failed(
@@ -56,11 +56,11 @@
         """No answer, or no more of it, will come."""
 
 
-class _Link(connections.Handler):
+class _PooledConnection(connections.Handler):
     """One connection to an upstream; serves one attempt at a time."""
 
-    def __init__(self, links: 'UpstreamLinks', address: str) -> None:
-        self.links = links
+    def __init__(self, links: 'ConnectionPool', address: str) -> None:
+        self.pool = links
         self.address = address
         self.attempt: Attempt | None = None
         self.idle_since_ms = 0.0
@@ -72,22 +72,22 @@
 
     def connected(self) -> None:
         if self.attempt is not None:
-            self.attempt.linked()
+            self.attempt.connection_ready()
 
     def received(self, data: bytes) -> None:
         if self.attempt is not None:
             self.attempt.received(data)
         else:
             # Bytes that belong to no request.
-            self.links.drop(self)
+            self.pool.drop(self)
 
     def ended(self, error: OSError | None) -> None:
-        self.links.forget(self)
+        self.pool.remove(self)
         if self.attempt is not None:
-            self.attempt.link_ended(error)
+            self.attempt.connection_ended(error)
 
 
-class UpstreamLinks:
+class ConnectionPool:
     """Keeps the connections to all upstreams.
 
     Args:
@@ -99,9 +99,11 @@
 
     def __init__(self, loop: loops.EventLoop) -> None:
         self.loop = loop
-        self.idle: dict[str, list[_Link]] = collections.defaultdict(list)
+        self.idle: dict[str, list[_PooledConnection]] = (
+            collections.defaultdict(list)
+        )
 
-    def acquire(self, address: str, proven: bool) -> _Link:
+    def acquire(self, address: str, require_fresh: bool) -> _PooledConnection:
         """Return a connection, a new one if no kept one will do.
 
         Args:
@@ -114,19 +116,19 @@
             link = kept.pop()
             unused_ms = now_ms - link.idle_since_ms
             limit_ms = link.keep_ms
-            if proven:
-                limit_ms = min(limit_ms, PROVEN_IDLE_MS)
+            if require_fresh:
+                limit_ms = min(limit_ms, FRESH_IDLE_MS)
             if unused_ms < limit_ms and not link.connection.closed:
                 link.is_new = False
                 return link
             link.connection.close()
-        metrics.LINKS_OPENED.inc()
-        return _Link(self, address)
+        metrics.CONNECTIONS_OPENED.inc()
+        return _PooledConnection(self, address)
 
-    def release(self, link: _Link, keep_ms: float) -> None:
+    def release(self, link: _PooledConnection, keep_ms: float) -> None:
         """Keep a connection whose answer is complete for later use."""
         kept = self.idle[link.address]
-        if link.connection.closed or len(kept) >= MAX_IDLE_EACH:
+        if link.connection.closed or len(kept) >= MAX_IDLE_PER_UPSTREAM:
             link.connection.close()
             return
         link.attempt = None
@@ -134,18 +136,18 @@
         link.keep_ms = min(IDLE_MS, keep_ms)
         kept.append(link)
 
-    def drop(self, link: _Link) -> None:
+    def drop(self, link: _PooledConnection) -> None:
         """Close a connection that cannot be used again."""
-        self.forget(link)
+        self.remove(link)
         link.connection.abort()
 
-    def forget(self, link: _Link) -> None:
+    def remove(self, link: _PooledConnection) -> None:
         """Take a connection out of those kept."""
         kept = self.idle.get(link.address)
         if kept and link in kept:
             kept.remove(link)
 
-    def forget_address(self, address: str) -> None:
+    def close_address(self, address: str) -> None:
         """Close all kept connections to an upstream that has gone."""
         for link in self.idle.pop(address, []):
             link.connection.close()
@@ -173,46 +175,46 @@
 
     def __init__(
         self,
-        links: UpstreamLinks,
+        pool: ConnectionPool,
         request: ids.RequestId | None,
         address: str,
         listener: AttemptListener,
-        build: collections.abc.Callable[[], h11.Request],
+        build_head: collections.abc.Callable[[], h11.Request],
         body: bytes | None,
-        answered_request: collections.abc.Callable[
+        echoed_request_id: collections.abc.Callable[
             [Headers], ids.RequestId | None
         ],
-        proven: bool,
+        require_fresh: bool,
     ) -> None:
-        self.links = links
+        self.pool = pool
         self.request = request
         self.listener = listener
-        self.build = build
+        self.build_head = build_head
         self.body = body
-        self.answered_request = answered_request
+        self.echoed_request_id = echoed_request_id
         self.parser: h11.Connection | None = None
         self.head: h11.Request | None = None
         self.over = False
-        self.skipping = False
+        self.is_skipping = False
         self.keep_ms = IDLE_MS
         self.sent_at_ms: float | None = None
         self.timer: loops.Timer | None = None
-        self.link = links.acquire(address, proven)
-        self.link.attempt = self
-        self.new_link = self.link.is_new
-        if self.link.connection.connecting:
-            self.timer = links.loop.call_later(
+        self.pooled = pool.acquire(address, require_fresh)
+        self.pooled.attempt = self
+        self.is_new_connection = self.pooled.is_new
+        if self.pooled.connection.connecting:
+            self.timer = pool.loop.call_later(
                 CONNECT_TIMEOUT_MS, self._connect_timed_out
             )
         else:
-            self.linked()
+            self.connection_ready()
 
     @property
-    def bytes_left(self) -> bool:
+    def has_sent_bytes(self) -> bool:
         """Whether any byte of the request may have left."""
         return self.sent_at_ms is not None
 
-    def linked(self) -> None:
+    def connection_ready(self) -> None:
         """Send the request: the connection is there."""
         if self.over:
             return
@@ -220,20 +222,20 @@
         self.parser = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
-        self.head = self.build()
-        self.sent_at_ms = self.links.loop.now_ms()
+        self.head = self.build_head()
+        self.sent_at_ms = self.pool.loop.now_ms()
         data = self.parser.send(self.head)
         if self.body:
             data += self.parser.send(h11.Data(data=self.body))
         data += self.parser.send(h11.EndOfMessage())
-        self.link.connection.send(data)
+        self.pooled.connection.send(data)
 
     def received(self, data: bytes) -> None:
         """Take in bytes of the upstream."""
         self.parser.receive_data(data)
         self._read_events()
 
-    def link_ended(self, error: OSError | None) -> None:
+    def connection_ended(self, error: OSError | None) -> None:
         """Take in that the connection has ended."""
         if self.over:
             return
@@ -253,7 +255,7 @@
             return
         self.over = True
         self._stop_timer()
-        self.links.drop(self.link)
+        self.pool.drop(self.pooled)
 
     def _read_events(self) -> None:
         try:
@@ -261,9 +263,9 @@
                 event = self.parser.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return
-                self._take(event)
+                self._handle_event(event)
         except h11.RemoteProtocolError as error:
-            if self.link.connection.closed:
+            if self.pooled.connection.closed:
                 # The upstream broke off; there is no more to its answer.
                 self._fail(Fault.BROKEN)
                 return
@@ -272,41 +274,41 @@
             )
             self._fail(Fault.MALFORMED)
 
-    def _take(self, event: h11.Event) -> None:
+    def _handle_event(self, event: h11.Event) -> None:
         match event:
             case h11.Response():
-                self._take_head(event)
+                self._handle_head(event)
             case h11.Data():
-                if not self.skipping:
-                    self.listener.answer_data(self, bytes(event.data))
+                if not self.is_skipping:
+                    self.listener.response_data(self, bytes(event.data))
             case h11.EndOfMessage():
-                if self.skipping:
-                    self._read_next_answer()
+                if self.is_skipping:
+                    self._await_next_response()
                 else:
-                    self._complete()
+                    self._finish()
             case h11.ConnectionClosed():
                 self._fail(Fault.BROKEN)
 
-    def _take_head(self, head: h11.Response) -> None:
+    def _handle_head(self, head: h11.Response) -> None:
         headers = list(head.headers)
-        echoed = self.answered_request(headers)
+        echoed = self.echoed_request_id(headers)
         # A late second answer to an earlier request on this connection.
-        self.skipping = (
+        self.is_skipping = (
             echoed is not None
             and self.request is not None
             and echoed != self.request
         )
-        if self.skipping:
+        if self.is_skipping:
             logs.warning(
                 'answer_skipped', request=self.request, belongs_to=echoed
             )
             return
         self.keep_ms = _keep_alive_ms(headers)
-        self.listener.answer_started(
+        self.listener.response_started(
             self, head.status_code, list(head.headers.raw_items())
         )
 
-    def _read_next_answer(self) -> None:
+    def _await_next_response(self) -> None:
         """Wait for the own answer behind one that belongs elsewhere."""
         rest, _closed = self.parser.trailing_data
         if self.parser.their_state is not h11.DONE:
@@ -319,30 +321,30 @@
         if self.body:
             self.parser.send(h11.Data(data=self.body))
         self.parser.send(h11.EndOfMessage())
-        self.skipping = False
+        self.is_skipping = False
         if rest:
             self.parser.receive_data(rest)
 
-    def _complete(self) -> None:
+    def _finish(self) -> None:
         self.over = True
         reusable = (
             self.parser.our_state is h11.DONE
             and self.parser.their_state is h11.DONE
             and not self.parser.trailing_data[0]
-            and not self.link.connection.unsent
+            and not self.pooled.connection.send_buffer
             and self.keep_ms > 0
         )
         if reusable:
-            self.links.release(self.link, self.keep_ms)
+            self.pool.release(self.pooled, self.keep_ms)
         else:
-            self.link.connection.close()
-        self.listener.answer_ended(self)
+            self.pooled.connection.close()
+        self.listener.response_completed(self)
 
     def _fail(self, fault: Fault) -> None:
         self.over = True
         self._stop_timer()
-        self.links.drop(self.link)
-        self.listener.attempt_failed(self, fault, self.bytes_left)
+        self.pool.drop(self.pooled)
+        self.listener.attempt_failed(self, fault, self.has_sent_bytes)
 
     def _connect_timed_out(self) -> None:
         self.timer = None
@@ -363,5 +365,5 @@
     for parameter in found.get(b'keep-alive', b'').split(b','):
         name, _, value = parameter.strip().partition(b'=')
         if name.lower() == b'timeout' and value.strip().isdigit():
-            return int(value) * 1_000.0 * IDLE_SHARE
+            return int(value) * 1_000.0 * KEEP_ALIVE_FRACTION
     return IDLE_MS
--- a/eelgrassknot/forwarding/upstream_directory.py
+++ b/eelgrassknot/forwarding/upstream_directory.py
@@ -13,10 +13,10 @@
 
 __all__ = ['UpstreamDirectory']
 
-RETURN_GRACE_MS = 2_200.0
+RECOVERY_GRACE_MS = 2_200.0
 """Lapsed entries are back within 2 s of the store's return; ms."""
 
-Listener = collections.abc.Callable[[str], None]
+LeavingCallback = collections.abc.Callable[[str], None]
 
 
 class UpstreamDirectory:
@@ -32,27 +32,27 @@
         warm_until_ms: When each is at its full speed.
     """
 
-    def __init__(self, leaving: Listener) -> None:
-        self.leaving = leaving
+    def __init__(self, on_leaving: LeavingCallback) -> None:
+        self.on_leaving = on_leaving
         self.upstreams: dict[str, model.Upstream] = {}
-        self.missing: dict[str, float] = {}
+        self.expiring: dict[str, float] = {}
         self.warm_until_ms: dict[str, float] = {}
-        self.returned_ms = float('-inf')
+        self.store_recovered_ms = float('-inf')
 
-    def store_returned(self, now_ms: float) -> None:
+    def record_store_recovery(self, now_ms: float) -> None:
         """Take in that the store answers after it was away."""
-        self.returned_ms = now_ms
+        self.store_recovered_ms = now_ms
 
     def put(self, upstream: model.Upstream, now_ms: float) -> None:
         """Take in a new or changed entry."""
         name = upstream.upstream
         before = self.upstreams.get(name)
-        self.missing.pop(name, None)
+        self.expiring.pop(name, None)
         if before is not None and before.started_at_ms != (
             upstream.started_at_ms
         ):
             # Started again under its name: what ran there is lost.
-            self.leaving(name)
+            self.on_leaving(name)
             before = None
         self.upstreams[name] = upstream
         self.warm_until_ms[name] = now_ms + upstream.warm_up_ms
@@ -68,28 +68,28 @@
                 state=upstream.state.value,
             )
         if was_live and upstream.state is states.UpstreamState.LEAVING:
-            self.leaving(name)
+            self.on_leaving(name)
 
     def remove(self, name: str, now_ms: float) -> None:
         """Take in that an entry is gone."""
-        if name not in self.upstreams or name in self.missing:
+        if name not in self.upstreams or name in self.expiring:
             return
-        back_by_ms = self.returned_ms + RETURN_GRACE_MS
+        back_by_ms = self.store_recovered_ms + RECOVERY_GRACE_MS
         live = self.upstreams[name].state is states.UpstreamState.LIVE
         if live and now_ms < back_by_ms:
-            self.missing[name] = back_by_ms
+            self.expiring[name] = back_by_ms
             return
-        self._drop(name)
+        self._remove(name)
 
-    def step(self, now_ms: float) -> None:
+    def expire(self, now_ms: float) -> None:
         """Drop those that did not come back in time."""
-        for name, due_ms in list(self.missing.items()):
+        for name, due_ms in list(self.expiring.items()):
             if now_ms >= due_ms:
-                del self.missing[name]
-                self._drop(name)
+                del self.expiring[name]
+                self._remove(name)
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         upstream = self.upstreams.pop(name)
         self.warm_until_ms.pop(name, None)
         logs.event('upstream_gone', upstream=name, address=upstream.address)
-        self.leaving(name)
+        self.on_leaving(name)
--- a/eelgrassknot/forwarding/work.py
+++ b/eelgrassknot/forwarding/work.py
@@ -41,12 +41,12 @@
     """
 
     loop: loops.EventLoop
-    links: upstream_connection.UpstreamLinks
+    connections: upstream_connection.ConnectionPool
     dialect: dialect.Dialect
     generator: random.Random
-    book: health.HealthBook
+    health: health.HealthBook
     plain_pool: plain.PlainPool
-    desk: 'engine_scheduler.EngineDesk'
+    scheduler: 'engine_scheduler.EngineScheduler'
     retry_ratio: float
     retry_burst: collections.abc.Callable[[], float]
     budgets: dict[ids.ServiceName, retry_budget.RetryBudget] = (
@@ -79,7 +79,7 @@
     route: model.Route
     service: model.Service
     account: ids.ClientAccountId | None
-    rank: int
+    priority: int
     headers: dialect.CallerHeaders
     started_ms: float
     deadline_ms: float
@@ -90,8 +90,8 @@
     work: Work,
     upstream: model.Upstream,
     listener: upstream_connection.AttemptListener,
-    facts: collections.abc.Callable[[float], dialect.ForwardingFacts],
-    proven: bool,
+    metadata: collections.abc.Callable[[float], dialect.ForwardingMetadata],
+    require_fresh: bool,
 ) -> upstream_connection.Attempt:
     """Send a request to an upstream.
 
@@ -108,7 +108,7 @@
     def build() -> h11.Request:
         left_ms = work.deadline_ms - context.loop.now_ms() - SEND_MARGIN_MS
         headers = context.dialect.forwarded_headers(
-            request.raw_headers, facts(left_ms)
+            request.raw_headers, metadata(left_ms)
         )
         if request.has_body:
             length = str(len(request.body)).encode('ascii')
@@ -118,12 +118,12 @@
         )
 
     return upstream_connection.Attempt(
-        context.links,
+        context.connections,
         work.request,
         upstream.address,
         listener,
         build,
         request.body or None,
-        context.dialect.answered_request,
-        proven,
+        context.dialect.echoed_request_id,
+        require_fresh,
     )
--- a/eelgrassknot/forwarding/zone_digests.py
+++ b/eelgrassknot/forwarding/zone_digests.py
@@ -16,13 +16,13 @@
 
 __all__ = ['ZoneDigests']
 
-TELL_MS = 200.0
+PUBLISH_INTERVAL_MS = 200.0
 """How often zones of the same region are told; ms. A prompt takes about as
 long to be read."""
 FAR_REGION_ROUNDS = 4
 """Zones of other regions are told every so many rounds: their link is
 narrow, and few requests go there."""
-DIRECT_MS = 3_000.0
+DIRECT_CONTACT_MS = 3_000.0
 """A zone whose VMs told of themselves within this time is not counted by
 its total as well; ms."""
 
@@ -42,66 +42,68 @@
 
     def __init__(
         self,
-        knowledge: replicated_state.Knowledge,
-        tally: peer_load.PeerTally,
+        replicated_state: replicated_state.ReplicatedState,
+        peer_load: peer_load.PeerLoad,
         loop: loops.EventLoop,
     ) -> None:
-        self.knowledge = knowledge
-        self.tally = tally
+        self.replicated_state = replicated_state
+        self.peer_load = peer_load
         self.loop = loop
         self.zone = ids.AvailabilityZoneId(
-            knowledge.settings.availability_zone
+            replicated_state.settings.availability_zone
         )
         self.round = 0
-        self.direct_ms: dict[ids.AvailabilityZoneId, float] = {}
+        self.direct_contact_ms: dict[ids.AvailabilityZoneId, float] = {}
         self.to_relay: dict[ids.AvailabilityZoneId, messages.ZoneNews] = {}
 
     def start(self) -> None:
         """Begin to tell."""
-        self.loop.call_later(TELL_MS, self._tell)
+        self.loop.call_later(PUBLISH_INTERVAL_MS, self._publish)
 
-    def heard_directly(self, zone: ids.AvailabilityZoneId) -> None:
+    def record_direct_contact(self, zone: ids.AvailabilityZoneId) -> None:
         """Take in that a VM of a zone has told of itself."""
-        self.direct_ms[zone] = self.loop.now_ms()
+        self.direct_contact_ms[zone] = self.loop.now_ms()
 
-    def take(self, vm: ids.VmId, news: messages.ZoneNews) -> None:
+    def receive(self, vm: ids.VmId, message: messages.ZoneNews) -> None:
         """Take in a digest, from a far gateway or from one of this zone."""
-        zone = news.availability_zone
+        zone = message.availability_zone
         now_ms = self.loop.now_ms()
-        heard_ms = self.direct_ms.get(zone, float('-inf'))
-        if zone == self.zone or now_ms - heard_ms <= DIRECT_MS:
+        contact_ms = self.direct_contact_ms.get(zone, float('-inf'))
+        if zone == self.zone or now_ms - contact_ms <= DIRECT_CONTACT_MS:
             return
-        self.tally.take(('zone', zone), news)
-        if vm in self.knowledge.board.roster.links.far:
-            self.to_relay[zone] = msgspec.structs.replace(news, marks=())
+        self.peer_load.update(('zone', zone), message)
+        if vm in self.replicated_state.peers.membership.links.far:
+            self.to_relay[zone] = msgspec.structs.replace(message, marks=())
 
-    def _tell(self) -> None:
-        self.loop.call_later(TELL_MS, self._tell)
+    def _publish(self) -> None:
+        self.loop.call_later(PUBLISH_INTERVAL_MS, self._publish)
         self.round += 1
-        board = self.knowledge.board
+        peers = self.replicated_state.peers
         relayed, self.to_relay = self.to_relay, {}
-        for news in relayed.values():
-            board.broadcast(news)
-        far = self._due(board.roster.links.far)
+        for message in relayed.values():
+            peers.broadcast(message)
+        far = self._due_gateways(peers.membership.links.far)
         if far:
-            board.send_far(far, self._digest())
+            peers.send_far(far, self._digest())
 
-    def _due(
+    def _due_gateways(
         self, gateways: collections.abc.Iterable[ids.VmId]
     ) -> list[ids.VmId]:
         """Return the far gateways that are to be told in this round."""
         if self.round % FAR_REGION_ROUNDS == 0:
             return list(gateways)
-        regions = self.knowledge.settings.regions
-        zone_of = self.knowledge.board.roster.zone_of
+        regions = self.replicated_state.settings.regions
+        zone_of = self.replicated_state.peers.membership.zone_of
         region = regions.get(self.zone)
         return [vm for vm in gateways if regions.get(zone_of(vm)) == region]
 
     def _digest(self) -> messages.ZoneNews:
-        members = [('vm', vm) for vm in self.knowledge.board.zone_members()]
+        members = [
+            ('vm', vm) for vm in self.replicated_state.peers.zone_members()
+        ]
         return messages.ZoneNews(
             self.zone,
-            self.knowledge.marks(),
-            peer_load.engine_entries(self.tally.engines(members)),
-            tuple(self.tally.running_calls(members).items()),
+            self.replicated_state.watermarks(),
+            peer_load.engine_entries(self.peer_load.engine_sums(members)),
+            tuple(self.peer_load.running_calls(members).items()),
         )
--- a/eelgrassknot/platform/desired_state.py
+++ b/eelgrassknot/platform/desired_state.py
@@ -94,7 +94,7 @@
     """
     try:
         found = msgspec.json.decode(document, type=_DesiredState)
-        return result.Ok(_translate(found))
+        return result.Ok(_convert_state(found))
     except (msgspec.MsgspecError, ValueError) as error:
         return result.Err(
             exceptions.MalformedAnswerError(
@@ -104,12 +104,12 @@
         )
 
 
-def _translate(found: _DesiredState) -> model.DeploymentState:
+def _convert_state(found: _DesiredState) -> model.DeploymentState:
     return model.DeploymentState(
         version=ids.ConfigVersion(found.version),
-        routes=tuple(_route(route) for route in found.routes),
+        routes=tuple(_convert_route(route) for route in found.routes),
         services={
-            ids.ServiceName(service.name): _service(service)
+            ids.ServiceName(service.name): _convert_service(service)
             for service in found.services
         },
         accounts=tuple(
@@ -130,13 +130,13 @@
     )
 
 
-def _route(found: _Route) -> model.Route:
+def _convert_route(found: _Route) -> model.Route:
     shares = tuple(
-        model.Share(ids.ServiceName(part.service), part.weight)
+        model.WeightedService(ids.ServiceName(part.service), part.weight)
         for part in found.split
     )
     if not shares and found.service is not None:
-        shares = (model.Share(ids.ServiceName(found.service), 1.0),)
+        shares = (model.WeightedService(ids.ServiceName(found.service), 1.0),)
     return model.Route(
         name=found.name,
         host=found.host.lower(),
@@ -153,7 +153,7 @@
     )
 
 
-def _service(found: _Service) -> model.Service:
+def _convert_service(found: _Service) -> model.Service:
     engine = None
     if found.engine is not None:
         engine = model.EngineProfile(
@@ -163,7 +163,7 @@
             link_mbps=found.engine.link_mbps,
             can_move=found.engine.moves,
             can_copy=found.engine.backups,
-            handle_ms=found.engine.handle_s * 1_000.0,
+            handle_ttl_ms=found.engine.handle_s * 1_000.0,
             event_tokens=max(1, found.engine.stride),
         )
     return model.Service(
--- a/eelgrassknot/platform/engines.py
+++ b/eelgrassknot/platform/engines.py
@@ -5,12 +5,12 @@
 
 from eelgrassknot import ids
 
-__all__ = ['decode_move', 'encode_move']
+__all__ = ['decode_kv_transfer', 'encode_kv_transfer']
 
 _OK = 200
 
 
-class _Move(msgspec.Struct):
+class _TransferRequest(msgspec.Struct):
     # Request-Id of the run.
     id: str
     # IP:port of the engine that takes the memory.
@@ -19,13 +19,13 @@
     last: bool
 
 
-class _Moved(msgspec.Struct):
+class _TransferResponse(msgspec.Struct):
     handle: str | int
     # Events generated so far, not a time.
     created: int = 0
 
 
-def encode_move(
+def encode_kv_transfer(
     address: str, request: ids.RequestId, target: str, stop: bool
 ) -> tuple[h11.Request, bytes]:
     """Return the call that copies a run's memory to another engine.
@@ -36,7 +36,7 @@
         target: Engine that takes the copy, ``IP:port``.
         stop: Whether the run stops first.
     """
-    body = msgspec.json.encode(_Move(request, target, stop))
+    body = msgspec.json.encode(_TransferRequest(request, target, stop))
     head = h11.Request(
         method='POST',
         target='/api/kv-move',
@@ -49,7 +49,7 @@
     return head, body
 
 
-def decode_move(status: int, body: bytes) -> str | None:
+def decode_kv_transfer(status: int, body: bytes) -> str | None:
     """Return the name of the copy, or None if there is none.
 
     A refusal for want of room also names the copy that the source keeps,
@@ -58,6 +58,6 @@
     if status != _OK:
         return None
     try:
-        return str(msgspec.json.decode(body, type=_Moved).handle)
+        return str(msgspec.json.decode(body, type=_TransferResponse).handle)
     except msgspec.MsgspecError:
         return None
--- a/eelgrassknot/platform/plugin.py
+++ b/eelgrassknot/platform/plugin.py
@@ -21,12 +21,12 @@
     decode_upstream=servers.decode_upstream,
     caller_headers=wire.caller_headers,
     forwarded_headers=wire.forwarded_headers,
-    answer_headers=wire.answer_headers,
-    answered_request=wire.answered_request,
-    is_genuine=wire.is_genuine,
-    says_not_run=wire.says_not_run,
-    encode_move=engines.encode_move,
-    decode_move=engines.decode_move,
+    response_headers=wire.response_headers,
+    echoed_request_id=wire.echoed_request_id,
+    is_signed=wire.is_signed,
+    declares_not_executed=wire.declares_not_executed,
+    encode_kv_transfer=engines.encode_kv_transfer,
+    decode_kv_transfer=engines.decode_kv_transfer,
 )
 
 dialect.DIALECTS.register(NAME)(DIALECT)
--- a/eelgrassknot/platform/store.py
+++ b/eelgrassknot/platform/store.py
@@ -18,14 +18,14 @@
 room for four."""
 READ_TIMEOUT_MS = 2_000
 """Longest wait for the answer to a short call; ms."""
-FEED_GRACE_MS = 1_500
+FEED_MARGIN_MS = 1_500
 """How much longer than its wait a feed call may take; ms."""
 PAGE_ROWS = 500
 """Most rows of one answer; the platform's limit."""
 
 _OK = 200
 _CONDITION_FAILED = 412
-_GONE = 410
+_HISTORY_GONE = 410
 _REFUSED = frozenset([429, 503])
 
 
@@ -39,7 +39,7 @@
     deleted: bool = False
 
 
-class _Answer(msgspec.Struct, rename='camel'):
+class _Response(msgspec.Struct, rename='camel'):
     # Newest version of the whole store, not of the rows.
     ver: int
     # The store's steady clock, not the time of day.
@@ -70,7 +70,7 @@
         """
         rows: list[row_store.StoreRow] = []
         start = ''
-        first: _Answer | None = None
+        first: _Response | None = None
         while True:
             query = {'table': table, 'part': '', 'limit': PAGE_ROWS}
             if start:
@@ -105,7 +105,7 @@
             'waitMs': int(wait_ms),
         }
         found = self._query(
-            '/api/rows-feed', query, int(wait_ms) + FEED_GRACE_MS
+            '/api/rows-feed', query, int(wait_ms) + FEED_MARGIN_MS
         )
         return found.map(
             lambda answer: row_store.RowPage(
@@ -119,7 +119,7 @@
         self, row: row_store.RowKey, value: bytes
     ) -> result.Result[None, row_store.StoreError]:
         """Write a row whatever it holds; repeating it is harmless."""
-        found = self._commit(row, value, [])
+        found = self._write_conditionally(row, value, [])
         return found.map(lambda _: None)
 
     def insert_row(
@@ -130,7 +130,7 @@
         After an unknown outcome the caller has to read the row.
         """
         absent = {'table': row.table, 'part': '', 'key': row.key, 'ver': 0}
-        found = self._commit(row, value, [absent])
+        found = self._write_conditionally(row, value, [absent])
         if isinstance(found, result.Err) and isinstance(
             found.err_value, row_store.ConditionFailedError
         ):
@@ -143,10 +143,10 @@
         """Delete a row; repeating it is harmless."""
         entry = {'table': row.table, 'part': '', 'key': row.key}
         body = {'expectedRev': [], 'writes': [], 'deletes': [entry]}
-        found = self._transact(body)
+        found = self._run_transaction(body)
         return found.map(lambda _: None)
 
-    def _commit(
+    def _write_conditionally(
         self,
         row: row_store.RowKey,
         value: bytes,
@@ -158,11 +158,11 @@
             'key': row.key,
             'value': base64.b64encode(value).decode('ascii'),
         }
-        return self._transact(
+        return self._run_transaction(
             {'expectedRev': conditions, 'writes': [entry], 'deletes': []}
         )
 
-    def _transact(
+    def _run_transaction(
         self, body: dict[str, object]
     ) -> result.Result[bytes, row_store.StoreError]:
         return self._call(
@@ -174,10 +174,10 @@
 
     def _query(
         self, path: str, query: dict[str, object], timeout_ms: int
-    ) -> result.Result[_Answer, row_store.StoreError]:
+    ) -> result.Result[_Response, row_store.StoreError]:
         target = f'{path}?{urllib.parse.urlencode(query)}'
         found = self._call('GET', target, None, timeout_ms)
-        return found.and_then(_decode_answer)
+        return found.and_then(_decode_response)
 
     def _call(
         self,
@@ -208,7 +208,7 @@
             self._discard_handle()
             return result.Err(_transport_error(error, body is not None))
         status = handle.getinfo(pycurl.RESPONSE_CODE)
-        return _judge_status(status, received.getvalue())
+        return _check_status(status, received.getvalue())
 
     def _discard_handle(self) -> None:
         # A connection on which an answer was lost delivers nothing more.
@@ -230,12 +230,12 @@
     )
 
 
-def _judge_status(
+def _check_status(
     status: int, body: bytes
 ) -> result.Result[bytes, row_store.StoreError]:
     if status == _OK:
         return result.Ok(body)
-    if status == _GONE:
+    if status == _HISTORY_GONE:
         return result.Err(
             row_store.HistoryGoneError(
                 'the store has dropped the changes asked for',
@@ -264,11 +264,11 @@
     )
 
 
-def _decode_answer(
+def _decode_response(
     body: bytes,
-) -> result.Result[_Answer, row_store.StoreError]:
+) -> result.Result[_Response, row_store.StoreError]:
     try:
-        return result.Ok(msgspec.json.decode(body, type=_Answer))
+        return result.Ok(msgspec.json.decode(body, type=_Response))
     except msgspec.MsgspecError as error:
         return result.Err(
             exceptions.MalformedAnswerError(
--- a/eelgrassknot/platform/wire.py
+++ b/eelgrassknot/platform/wire.py
@@ -8,12 +8,12 @@
 
 __all__ = [
     'READINESS_PATH',
-    'answer_headers',
-    'answered_request',
+    'response_headers',
+    'echoed_request_id',
     'caller_headers',
     'forwarded_headers',
-    'is_genuine',
-    'says_not_run',
+    'is_signed',
+    'declares_not_executed',
 ]
 
 Headers = collections.abc.Sequence[tuple[bytes, bytes]]
@@ -22,26 +22,26 @@
 # Time the caller will wait from now, in ms; not a point in time.
 DEADLINE = b'request-deadline'
 # Holds the bare API key, without a scheme.
-KEY = b'credential'
+API_KEY = b'credential'
 # Name of the client account that holds the key.
-ACCOUNT = b'tenant'
+CLIENT_ACCOUNT = b'tenant'
 # Prompt tokens and the *largest* number of output tokens.
 TOKEN_COUNTS = b'token-counts'
 PROMPT_PARTS = b'prompt-prefix'
 OUTPUT_HINT = b'length-hint'
 LAST_EVENT = b'last-event-id'
 # Id of the upstream; no other may run the request.
-EXPECTED_UPSTREAM = b'expect-instance'
+EXPECTED_INSTANCE = b'expect-instance'
 # 0 to 9; 0 is the most urgent, 5 applies without the header.
 ENGINE_PRIORITY = b'request-priority'
 # Where a growing copy of the run's memory is kept, IP:port.
-COPY_TO = b'kv-backup'
+KV_BACKUP = b'kv-backup'
 # Where a run's memory is to be taken from, IP:port/handle or /request id.
-CONTINUE_FROM = b'kv-from'
+KV_SOURCE = b'kv-from'
 # Signature of the upstream; an answer without it is not the upstream's.
 SIGNATURE = b'server-stamp'
 # Present on an answer whose request the upstream did not run.
-NOT_RUN = b'not-executed'
+NOT_EXECUTED = b'not-executed'
 
 _HOP_BY_HOP = frozenset(
     [
@@ -58,16 +58,16 @@
         b'upgrade',
     ]
 )
-_SET_BY_US = frozenset(
+_RESERVED = frozenset(
     [
-        KEY,
-        ACCOUNT,
+        API_KEY,
+        CLIENT_ACCOUNT,
         DEADLINE,
-        EXPECTED_UPSTREAM,
+        EXPECTED_INSTANCE,
         b'expect-version',
         ENGINE_PRIORITY,
-        COPY_TO,
-        CONTINUE_FROM,
+        KV_BACKUP,
+        KV_SOURCE,
         b'kv-fetch',
         b'hold',
         b'pin-duration',
@@ -83,18 +83,18 @@
     Args:
         headers: Pairs of name and value.
     """
-    found = _lowered(headers)
+    found = _lowercase_names(headers)
     return dialect.CallerHeaders(
-        request=_request_id(found.get(REQUEST_ID)),
-        key=_text(found.get(KEY)),
-        deadline_ms=_number(found.get(DEADLINE)),
-        last_event=_integer(found.get(LAST_EVENT)),
-        generation=_generation(found),
+        request=_parse_request_id(found.get(REQUEST_ID)),
+        key=_decode_text(found.get(API_KEY)),
+        deadline_ms=_parse_float(found.get(DEADLINE)),
+        last_event=_parse_int(found.get(LAST_EVENT)),
+        generation=_parse_generation(found),
     )
 
 
 def forwarded_headers(
-    raw_headers: Headers, facts: dialect.ForwardingFacts
+    raw_headers: Headers, metadata: dialect.ForwardingMetadata
 ) -> list[tuple[bytes, bytes]]:
     """Return the headers with which a request goes to an upstream.
 
@@ -106,23 +106,23 @@
     for name, value in raw_headers:
         if name.lower() == b'connection':
             named.update(part.strip().lower() for part in value.split(b','))
-    dropped = _HOP_BY_HOP | _SET_BY_US | named - {b'host'}
-    if facts.last_event is not None:
+    dropped = _HOP_BY_HOP | _RESERVED | named - {b'host'}
+    if metadata.last_event is not None:
         dropped = dropped | {LAST_EVENT}
     kept = [
         (name, value)
         for name, value in raw_headers
         if name.lower() not in dropped
     ]
-    remaining = max(1, int(facts.remaining_ms))
+    remaining = max(1, int(metadata.remaining_ms))
     added = [
         (b'Request-Deadline', str(remaining)),
-        (b'Expect-Instance', facts.upstream),
-        (b'Tenant', facts.account),
-        (b'Request-Priority', facts.engine_priority),
-        (b'Kv-Backup', facts.copy_to),
-        (b'Kv-From', facts.continue_from),
-        (b'Last-Event-Id', facts.last_event),
+        (b'Expect-Instance', metadata.upstream),
+        (b'Tenant', metadata.account),
+        (b'Request-Priority', metadata.engine_priority),
+        (b'Kv-Backup', metadata.copy_to),
+        (b'Kv-From', metadata.continue_from),
+        (b'Last-Event-Id', metadata.last_event),
     ]
     kept += [
         (name, str(value).encode('latin-1'))
@@ -132,7 +132,7 @@
     return kept
 
 
-def answer_headers(raw_headers: Headers) -> list[tuple[bytes, bytes]]:
+def response_headers(raw_headers: Headers) -> list[tuple[bytes, bytes]]:
     """Return the headers of an upstream's answer that the caller gets."""
     return [
         (name, value)
@@ -141,52 +141,52 @@
     ]
 
 
-def answered_request(headers: Headers) -> ids.RequestId | None:
+def echoed_request_id(headers: Headers) -> ids.RequestId | None:
     """Return the request that an answer says it belongs to."""
-    return _request_id(_lowered(headers).get(REQUEST_ID))
+    return _parse_request_id(_lowercase_names(headers).get(REQUEST_ID))
 
 
-def is_genuine(headers: Headers) -> bool:
+def is_signed(headers: Headers) -> bool:
     """Return whether an answer bears the signature of an upstream."""
-    return SIGNATURE in _lowered(headers)
+    return SIGNATURE in _lowercase_names(headers)
 
 
-def says_not_run(status: int, headers: Headers) -> bool:
+def declares_not_executed(status: int, headers: Headers) -> bool:
     """Return whether the upstream promises that it did not run it."""
-    return status == MISDIRECTED or NOT_RUN in _lowered(headers)
+    return status == MISDIRECTED or NOT_EXECUTED in _lowercase_names(headers)
 
 
-def _lowered(headers: Headers) -> dict[bytes, bytes]:
+def _lowercase_names(headers: Headers) -> dict[bytes, bytes]:
     return {name.lower(): value for name, value in headers}
 
 
-def _request_id(value: bytes | None) -> ids.RequestId | None:
-    found = _text(value)
+def _parse_request_id(value: bytes | None) -> ids.RequestId | None:
+    found = _decode_text(value)
     return None if found is None else ids.RequestId(found)
 
 
-def _text(value: bytes | None) -> str | None:
+def _decode_text(value: bytes | None) -> str | None:
     return None if value is None else value.decode('latin-1').strip()
 
 
-def _number(value: bytes | None) -> float | None:
+def _parse_float(value: bytes | None) -> float | None:
     try:
         return None if value is None else float(value)
     except ValueError:
         return None
 
 
-def _integer(value: bytes | None) -> int | None:
+def _parse_int(value: bytes | None) -> int | None:
     try:
         return None if value is None else int(value)
     except ValueError:
         return None
 
 
-def _generation(
+def _parse_generation(
     found: dict[bytes, bytes],
 ) -> model.GenerationProfile | None:
-    counts = _text(found.get(TOKEN_COUNTS))
+    counts = _decode_text(found.get(TOKEN_COUNTS))
     if counts is None:
         return None
     prompt, _, output = counts.partition(',')
@@ -194,15 +194,17 @@
         return model.GenerationProfile(
             prompt_tokens=int(prompt),
             max_output_tokens=int(output),
-            output_hint=_integer(found.get(OUTPUT_HINT)),
-            parts=_parts(_text(found.get(PROMPT_PARTS)) or ''),
+            output_hint=_parse_int(found.get(OUTPUT_HINT)),
+            parts=_parse_prompt_parts(
+                _decode_text(found.get(PROMPT_PARTS)) or ''
+            ),
         )
     except ValueError:
         # An opaque request may use the header in another way.
         return None
 
 
-def _parts(listed: str) -> tuple[model.PromptPart, ...]:
+def _parse_prompt_parts(listed: str) -> tuple[model.PromptPart, ...]:
     parts = []
     for entry in filter(None, listed.split(',')):
         name, _, tokens = entry.strip().partition(':')
--- a/tests/peer_world.py
+++ b/tests/peer_world.py
@@ -27,7 +27,7 @@
     def __init__(self):
         self.time_ms = 0.0
         self.timers = []
-        self.order = itertools.count()
+        self.timer_sequence = itertools.count()
 
     @property
     def clock(self):
@@ -38,7 +38,9 @@
 
     def call_later(self, delay_ms, callback):
         due_ms = self.time_ms + delay_ms
-        heapq.heappush(self.timers, (due_ms, next(self.order), callback))
+        heapq.heappush(
+            self.timers, (due_ms, next(self.timer_sequence), callback)
+        )
 
     def call_soon(self, callback):
         self.call_later(0.0, callback)
@@ -50,91 +52,95 @@
         self.time_ms = end_ms
 
 
-class PeerVm:
+class SimulatedVm:
     """One VM: its roster, tally and what it tells."""
 
-    def __init__(self, world, vm, zone):
-        self.world = world
+    def __init__(self, cluster, vm, zone):
+        self.cluster = cluster
         self.vm = vm
         self.zone = zone
         self.alive = True
         self.sent = collections.Counter()
-        self.roster = peer_membership.PeerRoster(vm, zone)
-        loop = world.loop
+        self.membership = peer_membership.PeerMembership(vm, zone)
+        loop = cluster.loop
         book = health.HealthBook()
-        region = world.regions[zone]
-        self.desk = engine_scheduler.EngineDesk(loop, region, book)
+        region = cluster.regions[zone]
+        self.scheduler = engine_scheduler.EngineScheduler(loop, region, book)
         pool = plain.PlainPool(region, random.Random(1), book)
         self.pool = pool
-        knowledge = types.SimpleNamespace(
+        state = types.SimpleNamespace(
             settings=types.SimpleNamespace(
-                availability_zone=zone, regions=world.regions
+                availability_zone=zone, regions=cluster.regions
             ),
-            board=self,
-            marks=tuple,
-            newest=tuple,
+            peers=self,
+            watermarks=tuple,
+            urgent_versions=tuple,
+        )
+        self.peer_load = peer_load.PeerLoad(self.scheduler, pool, loop)
+        self.load_publisher = load_publisher.LoadPublisher(
+            state, self.peer_load, loop
         )
-        self.tally = peer_load.PeerTally(self.desk, pool, loop)
-        self.news = load_publisher.PeerNews(knowledge, self.tally, loop)
         self.zone_digests = zone_digests.ZoneDigests(
-            knowledge, self.tally, loop
+            state, self.peer_load, loop
         )
 
     def start(self):
         """Begin to tell."""
-        self.news.start()
+        self.load_publisher.start()
         self.zone_digests.start()
-        self.plan()
+        self.follow_plan()
 
-    def plan(self):
+    def follow_plan(self):
         """Follow the roster's plan, again and again."""
         if not self.alive:
             return
-        self.roster.plan(self.world.loop.now_ms())
-        self.world.loop.call_later(PLAN_MS, self.plan)
+        self.membership.plan_links(self.cluster.loop.now_ms())
+        self.cluster.loop.call_later(PLAN_MS, self.follow_plan)
 
     def place(self, run, engine, tokens):
         """Count a run of this VM."""
         commitment = commitments.Commitment(engine, None, tokens, 0)
-        self.desk.queue.commitments.commit(run, commitment)
+        self.scheduler.queue.commitments.commit(run, commitment)
 
-    def runs_known(self):
+    def known_runs(self):
         """Return how many runs it knows at each engine."""
-        now_ms = self.world.loop.now_ms()
-        sums = self.desk.queue.commitments.all_sums(now_ms)
+        now_ms = self.cluster.loop.now_ms()
+        sums = self.scheduler.queue.commitments.all_sums(now_ms)
         return {engine: each.runs for engine, each in sums.items()}
 
     # What the news ask of a board
 
     def live(self):
-        return self.roster.live(self.world.loop.now_ms())
+        return self.membership.live(self.cluster.loop.now_ms())
 
     def zone_members(self):
-        return self.roster.zone_members(self.world.loop.now_ms())
+        return self.membership.zone_members(self.cluster.loop.now_ms())
 
     def broadcast(self, message):
-        self.send_far(list(self.roster.links.zone), message)
+        self.send_far(list(self.membership.links.zone), message)
 
     def send_far(self, vms, message):
         if self.alive:
             for vm in vms:
                 self.sent[type(message).__name__] += 1
-                self.world.deliver(self, vm, message)
+                self.cluster.deliver(self, vm, message)
 
-    def take(self, vm, message):
+    def receive(self, vm, message):
         """Take in a message."""
         if not self.alive:
             return
-        self.roster.heard(vm, self.world.loop.now_ms())
+        self.membership.record_contact(vm, self.cluster.loop.now_ms())
         match message:
             case messages.EntryNews():
-                self.zone_digests.heard_directly(message.availability_zone)
-                self.tally.take(('vm', vm), message)
+                self.zone_digests.record_direct_contact(
+                    message.availability_zone
+                )
+                self.peer_load.update(('vm', vm), message)
             case messages.ZoneNews():
-                self.zone_digests.take(vm, message)
+                self.zone_digests.receive(vm, message)
 
 
-class PeerWorld:
+class SimulatedCluster:
     """Zones of VMs, the first half of the zones in one region."""
 
     def __init__(self, zones, size):
@@ -145,7 +151,7 @@
             for number, zone in enumerate(names)
         }
         self.vms = {
-            f'{zone}-{number}': PeerVm(self, f'{zone}-{number}', zone)
+            f'{zone}-{number}': SimulatedVm(self, f'{zone}-{number}', zone)
             for zone in names
             for number in range(size)
         }
@@ -154,7 +160,7 @@
             for vm, peer in self.vms.items()
         }
         for peer in self.vms.values():
-            peer.roster.take_rows(rows, 0.0)
+            peer.membership.update_rows(rows, 0.0)
             peer.start()
 
     def deliver(self, sender, vm, message):
@@ -163,13 +169,13 @@
         is_near = self.regions[sender.zone] == self.regions[receiver.zone]
         delay_ms = ZONE_DELAY_MS if is_near else REGION_DELAY_MS
         self.loop.call_later(
-            delay_ms, lambda: receiver.take(sender.vm, message)
+            delay_ms, lambda: receiver.receive(sender.vm, message)
         )
 
     def gateways(self):
         """Return the live VMs that are linked to other zones, by zone."""
         found = collections.defaultdict(list)
         for vm, peer in self.vms.items():
-            if peer.alive and peer.roster.links.far:
+            if peer.alive and peer.membership.links.far:
                 found[peer.zone].append(vm)
         return found
--- a/tests/steps/forwarding_knowledge.py
+++ b/tests/steps/forwarding_knowledge.py
@@ -60,13 +60,13 @@
 
 
 @behave.given('a store clock that was seen {ahead:d} ms ahead')
-def seen_ahead(context, ahead):
+def observed_ahead(context, ahead):
     context.clock = access.StoreClock()
     context.clock.observe(0.0, 10.0, ahead + 5.0)
 
 
 @behave.when('it is seen {ahead:d} ms ahead')
-def seen_again(context, ahead):
+def observed_again(context, ahead):
     context.ahead = ahead
     context.clock.observe(100.0, 110.0, ahead + 105.0)
 
@@ -76,41 +76,41 @@
     assert context.clock.local_ms(context.ahead + 200.0) == 195.0
 
 
-def _book(bound):
-    book = access.AccessBook(bound)
-    book.replace((model.Account('acme', ('k1', 'k2')),))
-    return book
+def _create_authenticator(bound):
+    authenticator = access.KeyAuthenticator(bound)
+    authenticator.replace_accounts((model.Account('acme', ('k1', 'k2')),))
+    return authenticator
 
 
 @behave.given(
     'a book of keys with a bound of {bound:d} ms, current as of {as_of:d} ms'
 )
-def bounded_book(context, bound, as_of):
-    context.book = _book(bound)
-    context.book.confirm(as_of)
+def bounded_authenticator(context, bound, as_of):
+    context.authenticator = _create_authenticator(bound)
+    context.authenticator.confirm(as_of)
 
 
 @behave.given('a book of keys without a bound')
-def unbounded_book(context):
-    context.book = _book(None)
+def unbounded_authenticator(context):
+    context.authenticator = _create_authenticator(None)
 
 
 @behave.when('it is confirmed as of {as_of:d} ms')
 def confirmed(context, as_of):
-    context.book.confirm(as_of)
+    context.authenticator.confirm(as_of)
 
 
 @behave.then('the key {key:w} is {standing} at {now_ms:d} ms')
 def key_is(context, key, standing, now_ms):
     expected = {
-        'open': access.Standing.OPEN,
-        'unknown': access.Standing.UNKNOWN_KEY,
-        'out of date': access.Standing.OUT_OF_DATE,
+        'open': access.KeyStatus.VALID,
+        'unknown': access.KeyStatus.UNKNOWN_KEY,
+        'out of date': access.KeyStatus.OUT_OF_DATE,
     }[standing]
-    assert context.book.judge(key, now_ms)[0] is expected
+    assert context.authenticator.authenticate(key, now_ms)[0] is expected
 
 
-class _Truth:
+class _ReferenceTable:
     """A table of the store with all of its history."""
 
     def __init__(self, generator):
@@ -131,7 +131,7 @@
         else:
             self.rows[key] = row
 
-    def whole(self):
+    def snapshot(self):
         return row_store.RowPage(
             tuple(self.rows.values()), self.version, float(self.version)
         )
@@ -144,100 +144,102 @@
 @behave.then(
     '{count:d} random histories of a table end with what the store holds'
 )
-def mirrors_end(context, count):
+def replicas_converge(context, count):
     for seed in range(count):
-        _play_mirrors(random.Random(seed))
+        _run_history(random.Random(seed))
 
 
-def _play_mirrors(generator):
-    truth = _Truth(generator)
-    mirrors = [table_replica.TableMirror() for _ in range(3)]
+def _run_history(generator):
+    reference = _ReferenceTable(generator)
+    replicas = [table_replica.TableReplica() for _ in range(3)]
     delayed = []
     for _ in range(60):
-        mirror = generator.choice(mirrors)
+        replica = generator.choice(replicas)
         choice = generator.random()
         if choice < 0.35:
-            truth.change()
+            reference.change()
         elif choice < 0.45:
-            delayed.append((None, truth.whole()))
-        elif choice < 0.65 and mirror.mark is not None:
-            after = mirror.mark.version
-            delayed.append((after, truth.changes(after)))
+            delayed.append((None, reference.snapshot()))
+        elif choice < 0.65 and replica.watermark is not None:
+            after = replica.watermark.version
+            delayed.append((after, reference.changes(after)))
         elif choice < 0.80 and delayed:
             position = generator.randrange(len(delayed))
             after, page = delayed.pop(position)
-            _take(mirror, after, page)
+            _apply(replica, after, page)
         else:
-            _tell(generator.choice(mirrors), mirror)
-        for each in mirrors:
-            _check_mirror(truth, each)
-    for mirror in mirrors:
-        _take(mirror, None, truth.whole())
-        assert mirror.rows == truth.rows
+            _send_watermark(generator.choice(replicas), replica)
+        for each in replicas:
+            _check_replica(reference, each)
+    for replica in replicas:
+        _apply(replica, None, reference.snapshot())
+        assert replica.rows == reference.rows
 
 
-def _take(mirror, after, page):
+def _apply(replica, after, page):
     if after is None:
-        mirror.take_whole(page, page.version)
+        replica.apply_snapshot(page, page.version)
     else:
-        mirror.take_changes(after, page)
+        replica.apply_changes(after, page)
 
 
-def _tell(sender, receiver):
+def _send_watermark(sender, receiver):
     """Have one VM tell another what it knows, as peers do."""
-    if sender.mark is None or receiver.confirm(sender.mark):
+    if sender.watermark is None or receiver.confirm(sender.watermark):
         return
     page = row_store.RowPage(
         tuple(sender.rows.values()),
-        sender.mark.version,
-        sender.mark.store_ms,
+        sender.watermark.version,
+        sender.watermark.store_ms,
     )
-    receiver.take_whole(page, sender.mark.changed)
+    receiver.apply_snapshot(page, sender.watermark.last_change)
 
 
-def _check_mirror(truth, mirror):
+def _check_replica(reference, replica):
     """A mirror holds just what the store held at the mirror's version."""
-    if mirror.mark is None:
+    if replica.watermark is None:
         return
     rows = {}
-    for row in truth.log:
-        if row.version <= mirror.mark.version:
+    for row in reference.log:
+        if row.version <= replica.watermark.version:
             rows.pop(row.key, None)
             if not row.deleted:
                 rows[row.key] = row
-    assert mirror.rows == rows, (mirror.rows, rows, mirror.mark)
+    assert replica.rows == rows, (replica.rows, rows, replica.watermark)
 
 
 @behave.given('a mirror that knows the table up to version 9')
-def mirror_at_9(context):
-    context.mirror = table_replica.TableMirror()
+def replica_at_9(context):
+    context.replica = table_replica.TableReplica()
     row = row_store.StoreRow('a', b'new', 9, False)
     page = row_store.RowPage((row,), 9, 90.0)
-    context.mirror.take_whole(page, 9)
+    context.replica.apply_snapshot(page, 9)
 
 
 @behave.when('the whole table as of version 7 comes')
-def older_whole(context):
+def older_snapshot(context):
     row = row_store.StoreRow('a', b'old', 7, False)
     page = row_store.RowPage((row,), 7, 70.0)
-    context.changes = context.mirror.take_whole(page, 7)
+    context.changes = context.replica.apply_snapshot(page, 7)
 
 
 @behave.then('the mirror is unchanged')
-def mirror_unchanged(context):
+def replica_unchanged(context):
     assert context.changes is None
-    assert context.mirror.rows['a'].value == b'new'
-    assert context.mirror.mark.store_ms == 90.0
+    assert context.replica.rows['a'].value == b'new'
+    assert context.replica.watermark.store_ms == 90.0
 
 
 @behave.when('a peer knows it up to version {version:d} as of {store:d} ms')
 def peer_confirms(context, version, store):
-    assert context.mirror.confirm(table_replica.Mark(version, 9, store))
+    assert context.replica.confirm(table_replica.Watermark(version, 9, store))
 
 
 @behave.then('the mirror knows it as of {store:d} ms')
 def known_as_of(context, store):
-    assert context.mirror.mark.store_ms == store, context.mirror.mark
+    assert context.replica.watermark.store_ms == store, (
+        context.replica.watermark
+    )
 
 
 def _upstream(name, started_ms=1):
@@ -266,16 +268,16 @@
 
 @behave.when('the store has returned at {now_ms:d} ms')
 def store_returned(context, now_ms):
-    context.directory.store_returned(now_ms)
+    context.directory.record_store_recovery(now_ms)
 
 
 @behave.when('the entry u1 goes at {now_ms:d} ms')
-def entry_goes(context, now_ms):
+def entry_removed(context, now_ms):
     context.directory.remove('u1', now_ms)
 
 
 @behave.when('the entry u1 comes back at {now_ms:d} ms')
-def entry_back(context, now_ms):
+def entry_written_again(context, now_ms):
     context.directory.put(_upstream('u1'), now_ms)
 
 
@@ -286,20 +288,20 @@
 
 @behave.then('u1 is listed at {now_ms:d} ms')
 def is_listed(context, now_ms):
-    context.directory.step(now_ms)
+    context.directory.expire(now_ms)
     assert 'u1' in context.directory.upstreams
     assert context.left == []
 
 
 @behave.then('u1 is gone at {now_ms:d} ms and streams are told')
 def is_gone(context, now_ms):
-    context.directory.step(now_ms)
+    context.directory.expire(now_ms)
     assert 'u1' not in context.directory.upstreams
     assert context.left == ['u1']
 
 
 @behave.then('streams are told that u1 has left')
-def told_left(context):
+def notified_of_leaving(context):
     assert context.left == ['u1']
     assert 'u1' in context.directory.upstreams
 
@@ -328,7 +330,7 @@
 
 
 @behave.then('{count:d} random cuts of a stream give the same events')
-def random_cuts(context, count):
+def random_chunkings(context, count):
     ends = ('\n\n', '\r\n\r\n')
     generator = random.Random(2)
     for _ in range(count):
