--- a/tests/steps/forwarding_peers.py
+++ b/tests/steps/forwarding_peers.py
@@ -19,13 +19,13 @@
 
 
 @behave.given('{zones:d} zones of {size:d} entry VMs that tell each other')
-def given_world(context, zones, size):
-    context.world = peer_world.PeerWorld(zones, size)
+def given_cluster(context, zones, size):
+    context.cluster = peer_world.SimulatedCluster(zones, size)
 
 
 @behave.when('the VMs run for {passed:d} ms')
 def time_passes(context, passed):
-    loop = context.world.loop
+    loop = context.cluster.loop
     loop.run_until(loop.now_ms() + passed)
 
 
@@ -34,7 +34,7 @@
     'pass'
 )
 def place_runs(context, runs, engine, passed):
-    for vm, peer in context.world.vms.items():
+    for vm, peer in context.cluster.vms.items():
         for number in range(runs if peer.alive else 0):
             peer.place(f'{vm}/{number}', engine, 100)
     time_passes(context, passed)
@@ -42,115 +42,115 @@
 
 @behave.when('each VM places a run every {gap:d} ms for {passed:d} ms')
 def place_often(context, gap, passed):
-    for peer in context.world.vms.values():
+    for peer in context.cluster.vms.values():
         peer.sent.clear()
     for number in range(passed // gap):
-        for vm, peer in context.world.vms.items():
+        for vm, peer in context.cluster.vms.items():
             peer.place(f'{vm}/{number}', f'e{number % 30}', 1_000)
         time_passes(context, gap)
     context.passed_s = passed / 1_000
 
 
 @behave.when('both gateways of the zone {zone} end and {passed:d} ms pass')
-def gateways_end(context, zone, passed):
-    for vm in context.world.gateways()[zone]:
-        context.world.vms[vm].alive = False
+def gateways_stop(context, zone, passed):
+    for vm in context.cluster.gateways()[zone]:
+        context.cluster.vms[vm].alive = False
     time_passes(context, passed)
 
 
 @behave.when('the VM {vm} ends and {passed:d} ms pass')
-def vm_ends(context, vm, passed):
-    context.world.vms[vm].alive = False
+def vm_stops(context, vm, passed):
+    context.cluster.vms[vm].alive = False
     time_passes(context, passed)
 
 
 @behave.when('the zone {zone} is cut off and {passed:d} ms pass')
-def zone_is_cut(context, zone, passed):
-    world = context.world
-    deliver = world.deliver
+def zone_is_partitioned(context, zone, passed):
+    cluster = context.cluster
+    deliver = cluster.deliver
 
     def deliver_inside(sender, vm, message):
-        if (sender.zone == zone) == (world.vms[vm].zone == zone):
+        if (sender.zone == zone) == (cluster.vms[vm].zone == zone):
             deliver(sender, vm, message)
 
-    world.deliver = deliver_inside
+    cluster.deliver = deliver_inside
     time_passes(context, passed)
 
 
 @behave.then('each VM is linked to {count:d} others and is no gateway')
 def all_linked(context, count):
-    for peer in context.world.vms.values():
-        assert len(peer.roster.links.zone) == count
-        assert not peer.roster.links.far
+    for peer in context.cluster.vms.values():
+        assert len(peer.membership.links.zone) == count
+        assert not peer.membership.links.far
 
 
 @behave.then(
     'each zone has {count:d} gateways that are linked to {far:d} far VMs'
 )
 def gateways_are(context, count, far):
-    world = context.world
-    gateways = world.gateways()
-    assert len(gateways) == len(world.regions), gateways
+    cluster = context.cluster
+    gateways = cluster.gateways()
+    assert len(gateways) == len(cluster.regions), gateways
     for vms in gateways.values():
         assert len(vms) == count, vms
         for vm in vms:
-            assert len(world.vms[vm].roster.links.far) == far
+            assert len(cluster.vms[vm].membership.links.far) == far
 
 
 @behave.then('no other VM is linked to more than {count:d}')
 def others_linked(context, count):
-    for peer in context.world.vms.values():
-        if not peer.roster.links.far:
-            assert len(peer.roster.links.addresses) <= count
+    for peer in context.cluster.vms.values():
+        if not peer.membership.links.far:
+            assert len(peer.membership.links.addresses) <= count
 
 
 @behave.then('each VM counts {runs:d} runs at {engine}')
 def counts(context, runs, engine):
-    for vm, peer in context.world.vms.items():
+    for vm, peer in context.cluster.vms.items():
         if peer.alive:
-            assert peer.runs_known()[engine] == runs, (vm, peer.runs_known())
+            assert peer.known_runs()[engine] == runs, (vm, peer.known_runs())
 
 
 @behave.then('each VM of {zone} counts {runs:d} runs at {engine}')
 def zone_counts(context, zone, runs, engine):
-    for vm, peer in context.world.vms.items():
+    for vm, peer in context.cluster.vms.items():
         if peer.zone == zone:
-            assert peer.runs_known()[engine] == runs, (vm, peer.runs_known())
+            assert peer.known_runs()[engine] == runs, (vm, peer.known_runs())
 
 
 @behave.then('no VM sends over {limit:d} messages a second on its own account')
 def own_messages(context, limit):
-    for vm, peer in context.world.vms.items():
+    for vm, peer in context.cluster.vms.items():
         rate = peer.sent['EntryNews'] / context.passed_s
         assert rate <= limit, (vm, rate)
 
 
 @behave.then('no gateway sends over {limit:d} a second in all')
 def all_messages(context, limit):
-    for vm, peer in context.world.vms.items():
+    for vm, peer in context.cluster.vms.items():
         rate = sum(peer.sent.values()) / context.passed_s
         assert rate <= limit, (vm, rate, peer.sent)
 
 
 @behave.then('exactly one VM forgets {vm} and nothing else is forgotten')
-def one_forgets(context, vm):
-    now_ms = context.world.loop.now_ms()
-    forgotten = [
-        peer.roster.forgotten(now_ms)
-        for peer in context.world.vms.values()
+def one_expires(context, vm):
+    now_ms = context.cluster.loop.now_ms()
+    expired = [
+        peer.membership.expired(now_ms)
+        for peer in context.cluster.vms.values()
         if peer.alive
     ]
-    assert sorted(filter(None, forgotten)) == [[vm]], forgotten
+    assert sorted(filter(None, expired)) == [[vm]], expired
 
 
 TABLE = 'servers'
 
 
-def _knowledge(vm, members, loop):
+def _create_state(vm, members, loop):
     dialect = dialects.DIALECTS.lookup('users')
     ports = dict.fromkeys(('callers', 'readiness', 'peers', 'metrics'), 1)
     document = users_documents.entry_settings(vm, 'z', ports, '127.0.0.1:1')
-    known = replicated_state.Knowledge(
+    state = replicated_state.ReplicatedState(
         msgspec.convert(document, entry_settings.EntrySettings),
         dialect,
         loop,
@@ -158,30 +158,32 @@
         replicated_state.Listener(),
     )
     rows = {each: peer_membership.VmRow(each, 'z') for each in members}
-    known.board.roster.take_rows(rows, loop.now_ms())
-    return known
+    state.peers.membership.update_rows(rows, loop.now_ms())
+    return state
 
 
 @behave.given('a zone of {size:d} VMs that all know a table as of {now:d} ms')
-def zone_knows(context, size, now):
+def zone_has_read(context, size, now):
     registry.load_plugins('eelgrassknot.platform')
     context.loop = peer_world.SimulatedLoop()
     context.loop.run_until(now)
     members = [f'vm-{number}' for number in range(size)]
-    context.known = [_knowledge(vm, members, context.loop) for vm in members]
+    context.states = [
+        _create_state(vm, members, context.loop) for vm in members
+    ]
     page = row_store.RowPage((), 1, now)
-    for known in context.known:
-        known.store_clock.observe(now, now, now)
-        known.tables[TABLE].mirror.take_whole(page, 1)
+    for state in context.states:
+        state.store_clock.observe(now, now, now)
+        state.tables[TABLE].replica.apply_snapshot(page, 1)
 
 
 @behave.given(
     'a zone of {size:d} VMs that start and read a table at {now:d} ms'
 )
 def zone_starts(context, size, now):
-    zone_knows(context, size, now)
-    for known in context.known:
-        known.settled_ms = now + replicated_state.SETTLE_MS
+    zone_has_read(context, size, now)
+    for state in context.states:
+        state.watch_from_ms = now + replicated_state.STARTUP_GRACE_MS
 
 
 @behave.then('{count:d} of them watch it at {now:d} ms')
@@ -189,14 +191,14 @@
 def watchers(context, count, now):
     context.loop.run_until(now)
     watching = []
-    for known in context.known:
-        for vm in known.board.roster.listed:
-            known.board.roster.heard(vm, now)
-        watching.append(known._should_watch(TABLE))
+    for state in context.states:
+        for vm in state.peers.membership.listed:
+            state.peers.membership.record_contact(vm, now)
+        watching.append(state._should_watch(TABLE))
     assert sum(watching) == count, watching
 
 
-class _Rows:
+class _FakeStore:
     """The store as the board sees it."""
 
     def __init__(self, rows):
@@ -214,7 +216,7 @@
         return result.Ok(None)
 
 
-class _Link:
+class _FakeLink:
     """Takes note of connections."""
 
     def __init__(self):
@@ -224,18 +226,18 @@
         self.addresses[vm] = address
 
 
-def _board(context, rows):
+def _create_discovery(context, rows):
     context.rows = rows
-    context.board = peer_discovery.PeerBoard(
+    context.discovery = peer_discovery.PeerDiscovery(
         'a',
         'z',
         '10.0.0.1:7200',
-        _Rows(rows),
+        _FakeStore(rows),
         clocks.MonotonicClock(),
         random.Random(1),
         lambda link: None,
     )
-    context.board.link = _Link()
+    context.discovery.link = _FakeLink()
 
 
 def _row(number):
@@ -245,18 +247,18 @@
 
 
 @behave.given('a board whose row was deleted by another VM')
-def board_without_row(context):
-    _board(context, {'b': _row(2)})
+def discovery_without_row(context):
+    _create_discovery(context, {'b': _row(2)})
 
 
 @behave.given('a board with a peer b and a row that is no JSON')
-def board_with_bad_row(context):
-    _board(context, {'a': _row(1), 'b': _row(2), 'c': b'{'})
+def discovery_with_bad_row(context):
+    _create_discovery(context, {'a': _row(1), 'b': _row(2), 'c': b'{'})
 
 
 @behave.when('it reads the rows')
-def board_reads(context):
-    assert context.board._step().is_ok()
+def discovery_reads(context):
+    assert context.discovery._step().is_ok()
 
 
 @behave.then('its row is in the store again')
@@ -266,4 +268,4 @@
 
 @behave.then('it is linked to b alone')
 def linked_to_b(context):
-    assert list(context.board.link.addresses) == ['b']
+    assert list(context.discovery.link.addresses) == ['b']
--- a/tests/steps/platform_translation.py
+++ b/tests/steps/platform_translation.py
@@ -17,7 +17,7 @@
 
 
 def _forward(raw):
-    facts = dialect.ForwardingFacts('u1', 1234.7, 'acme')
+    facts = dialect.ForwardingMetadata('u1', 1234.7, 'acme')
     return wire.forwarded_headers(raw, facts)
 
 
@@ -77,7 +77,7 @@
     assert state.has_accounts
     assert state.accounts[0].keys == ('key-one', 'key-two')
     engine = state.services['writer'].engine
-    assert engine.can_copy and engine.handle_ms == 5_000.0
+    assert engine.can_copy and engine.handle_ttl_ms == 5_000.0
     assert state.limits.idle_timeout_ms == 15_000.0
 
 
