--- a/eelgrassknot/forwarding/call_driver.py
+++ b/eelgrassknot/forwarding/call_driver.py
@@ -230,7 +230,7 @@
 
     def _on_attempt_timeout(self) -> None:
         attempt = self.attempt
-        if attempt is None or attempt.over or self.is_streaming:
+        if attempt is None or attempt.is_over or self.is_streaming:
             return
         attempt.cancel()
         self._eject_if_unresponsive()
--- a/eelgrassknot/forwarding/engine_scheduler.py
+++ b/eelgrassknot/forwarding/engine_scheduler.py
@@ -128,23 +128,23 @@
             refused: Engines that are excluded.
             must_fit: Whether the engine must have enough free memory.
         """
-        counted = self.commitment(request)
-        if counted is None:
+        commitment = self.commitment(request)
+        if commitment is None:
             return None
-        counted.copy = None
+        commitment.copy = None
         engine = self.queue.place_copy(
             primary.service,
             engine_pairs.Place(
                 primary.upstream, primary.region, primary.availability_zone
             ),
-            counted.tokens,
+            commitment.tokens,
             refused,
             must_fit,
             self.loop.now_ms(),
         )
         if engine is None:
             return None
-        counted.copy = engine.upstream
+        commitment.copy = engine.upstream
         return self.upstreams.get(engine.upstream)
 
     def upstream_leaving(self, upstream: str) -> None:
--- a/eelgrassknot/forwarding/forwarder.py
+++ b/eelgrassknot/forwarding/forwarder.py
@@ -117,13 +117,13 @@
             return
         account = None
         if self.state.has_accounts and not route.public:
-            standing, account = self.authenticator.authenticate(
+            status, account = self.authenticator.authenticate(
                 headers.key, self.loop.now_ms()
             )
-            if standing is access.KeyStatus.OUT_OF_DATE:
+            if status is access.KeyStatus.OUT_OF_DATE:
                 self._refuse(exchange, headers, 503, 'keys_out_of_date')
                 return
-            if standing is access.KeyStatus.UNKNOWN_KEY:
+            if status is access.KeyStatus.UNKNOWN_KEY:
                 self._refuse(exchange, headers, 401, 'unknown_key')
                 return
         service = self._choose_service(route)
@@ -144,16 +144,16 @@
         limit_ms = route.timeout_ms
         if headers.deadline_ms is not None:
             limit_ms = min(limit_ms, headers.deadline_ms)
-        rank = route.priority
+        priority = route.priority
         if account is not None and account.priority is not None:
-            rank = account.priority
+            priority = account.priority
         work = works.Work(
             exchange=exchange,
             request=headers.request or ids.RequestId(ids.random_id()),
             route=route,
             service=service,
             account=access.account_name(account),
-            priority=rank,
+            priority=priority,
             headers=headers,
             started_ms=started_ms,
             deadline_ms=started_ms + limit_ms,
--- a/eelgrassknot/forwarding/kv_transfer.py
+++ b/eelgrassknot/forwarding/kv_transfer.py
@@ -45,7 +45,7 @@
         self.on_done = on_done
         self.status = 0
         self.body = b''
-        self.over = False
+        self.is_over = False
         head, body = context.dialect.encode_kv_transfer(
             plan.source.address,
             plan.request,
@@ -68,8 +68,8 @@
 
     def cancel(self) -> None:
         """Abandon the transfer without a callback."""
-        if not self.over:
-            self.over = True
+        if not self.is_over:
+            self.is_over = True
             self.timer.cancel()
             self.attempt.cancel()
 
@@ -104,9 +104,9 @@
         self._finish(None)
 
     def _finish(self, handle: str | None) -> None:
-        if self.over:
+        if self.is_over:
             return
-        self.over = True
+        self.is_over = True
         self.timer.cancel()
         self.attempt.cancel()
         self.on_done(self.plan, handle)
--- a/eelgrassknot/forwarding/replicated_state.py
+++ b/eelgrassknot/forwarding/replicated_state.py
@@ -281,7 +281,7 @@
             link.on_message(
                 kind, functools.partial(self._post_to_loop, handler)
             )
-        link.on_query(messages.RowsFetch, self._answer_fetch)
+        link.on_query(messages.RowsFetch, self._serve_fetch)
 
     def _post_to_loop(
         self,
@@ -365,7 +365,7 @@
             table.replica.apply_snapshot(page, watermark.changed),
         )
 
-    def _answer_fetch(
+    def _serve_fetch(
         self, _vm: ids.VmId, query: messages.RowsFetch
     ) -> messages.RowsReply:
         replica = self.tables[query.table].replica
--- a/eelgrassknot/forwarding/stream_driver.py
+++ b/eelgrassknot/forwarding/stream_driver.py
@@ -52,8 +52,8 @@
         """Store the head and start a signed successful response."""
         self.status = status
         self.headers = headers
-        genuine = self.driver.context.dialect.is_signed(headers)
-        if status in SUCCESS_STATUSES and genuine:
+        is_signed = self.driver.context.dialect.is_signed(headers)
+        if status in SUCCESS_STATUSES and is_signed:
             self.driver.dispatch(messages.Headed(self.number, True))
         else:
             # Buffered, because it may not come from the upstream.
@@ -192,7 +192,7 @@
             case messages.Move(source, target):
                 self._start_transfer(source, target)
             case messages.StartAnswer(attempt):
-                self._start_answer(self.attempts[attempt])
+                self._start_response(self.attempts[attempt])
             case messages.Forward(data):
                 self._forward(data)
             case messages.Finish():
@@ -205,8 +205,8 @@
                 self._fail(action)
 
     def _place(self, failed: frozenset[str]) -> None:
-        counted = self.context.scheduler.commitment(self.work.request)
-        produced = counted.produced_tokens if counted else 0
+        commitment = self.context.scheduler.commitment(self.work.request)
+        produced = commitment.produced_tokens if commitment else 0
         self.context.scheduler.release(self.work.request)
         profile = self.work.headers.generation
         prompt = UNKNOWN_PROMPT_TOKENS
@@ -255,10 +255,10 @@
             self.context.budget(self.work.service.name).spend()
         attempt = _StreamAttempt(self, send)
         self.attempts[send.attempt] = attempt
-        counted = self.context.scheduler.commitment(self.work.request)
-        if counted is not None:
-            counted.upstream = send.upstream.upstream
-            counted.copy = None
+        commitment = self.context.scheduler.commitment(self.work.request)
+        if commitment is not None:
+            commitment.upstream = send.upstream.upstream
+            commitment.copy = None
         if send.wants_copy:
             attempt.copy = self.context.scheduler.place_copy(
                 self.work.request, send.upstream
@@ -345,7 +345,7 @@
         metrics.COPIES.labels(outcome).inc()
         self.dispatch(messages.MoveEnded(plan.target, handle))
 
-    def _start_answer(self, attempt: _StreamAttempt) -> None:
+    def _start_response(self, attempt: _StreamAttempt) -> None:
         headers = self.context.dialect.response_headers(attempt.headers)
         if attempt.buffered_body is not None:
             self.work.exchange.respond(
@@ -364,11 +364,11 @@
             self.largest_gap_ms = max(self.largest_gap_ms, gap_ms)
         self.last_event_ms = now_ms
         self.work.exchange.send(data)
-        counted = self.context.scheduler.commitment(self.work.request)
-        if counted is not None:
-            counted.started = True
+        commitment = self.context.scheduler.commitment(self.work.request)
+        if commitment is not None:
+            commitment.started = True
             engine = self.work.service.engine
-            counted.produced_tokens += engine.event_tokens if engine else 1
+            commitment.produced_tokens += engine.event_tokens if engine else 1
 
     def _fail(self, action: messages.Fail) -> None:
         exchange = self.work.exchange
--- a/eelgrassknot/forwarding/upstream_connection.py
+++ b/eelgrassknot/forwarding/upstream_connection.py
@@ -59,15 +59,15 @@
 class _PooledConnection(connections.Handler):
     """One connection to an upstream; used by one attempt at a time."""
 
-    def __init__(self, links: 'ConnectionPool', address: str) -> None:
-        self.pool = links
+    def __init__(self, pool: 'ConnectionPool', address: str) -> None:
+        self.pool = pool
         self.address = address
         self.attempt: Attempt | None = None
         self.idle_since_ms = 0.0
         self.keep_ms = IDLE_MS
         self.is_new = True
         self.connection = connections.Connection.opened(
-            links.loop, address, self
+            pool.loop, address, self
         )
 
     def connected(self) -> None:
@@ -114,44 +114,44 @@
         now_ms = self.loop.now_ms()
         kept = self.idle.get(address, [])
         while kept:
-            link = kept.pop()
-            unused_ms = now_ms - link.idle_since_ms
-            limit_ms = link.keep_ms
+            pooled = kept.pop()
+            unused_ms = now_ms - pooled.idle_since_ms
+            limit_ms = pooled.keep_ms
             if require_fresh:
                 limit_ms = min(limit_ms, FRESH_IDLE_MS)
-            if unused_ms < limit_ms and not link.connection.closed:
-                link.is_new = False
-                return link
-            link.connection.close()
+            if unused_ms < limit_ms and not pooled.connection.closed:
+                pooled.is_new = False
+                return pooled
+            pooled.connection.close()
         metrics.CONNECTIONS_OPENED.inc()
         return _PooledConnection(self, address)
 
-    def release(self, link: _PooledConnection, keep_ms: float) -> None:
+    def release(self, pooled: _PooledConnection, keep_ms: float) -> None:
         """Return a connection to the pool after a complete response."""
-        kept = self.idle[link.address]
-        if link.connection.closed or len(kept) >= MAX_IDLE_PER_UPSTREAM:
-            link.connection.close()
+        kept = self.idle[pooled.address]
+        if pooled.connection.closed or len(kept) >= MAX_IDLE_PER_UPSTREAM:
+            pooled.connection.close()
             return
-        link.attempt = None
-        link.idle_since_ms = self.loop.now_ms()
-        link.keep_ms = min(IDLE_MS, keep_ms)
-        kept.append(link)
+        pooled.attempt = None
+        pooled.idle_since_ms = self.loop.now_ms()
+        pooled.keep_ms = min(IDLE_MS, keep_ms)
+        kept.append(pooled)
 
-    def drop(self, link: _PooledConnection) -> None:
+    def drop(self, pooled: _PooledConnection) -> None:
         """Close a connection that cannot be reused."""
-        self.remove(link)
-        link.connection.abort()
+        self.remove(pooled)
+        pooled.connection.abort()
 
-    def remove(self, link: _PooledConnection) -> None:
+    def remove(self, pooled: _PooledConnection) -> None:
         """Remove a connection from the idle ones."""
-        kept = self.idle.get(link.address)
-        if kept and link in kept:
-            kept.remove(link)
+        kept = self.idle.get(pooled.address)
+        if kept and pooled in kept:
+            kept.remove(pooled)
 
     def close_address(self, address: str) -> None:
         """Close the idle connections to an upstream that has gone."""
-        for link in self.idle.pop(address, []):
-            link.connection.close()
+        for pooled in self.idle.pop(address, []):
+            pooled.connection.close()
 
 
 class Attempt:
@@ -170,7 +170,7 @@
 
     Attributes:
         sent_at_ms: When the first byte was sent, or None.
-        over: Whether the attempt has ended; no callbacks follow.
+        is_over: Whether the attempt has ended; no callbacks follow.
         is_new_connection: Whether the attempt opened a connection.
     """
 
@@ -195,7 +195,7 @@
         self.echoed_request_id = echoed_request_id
         self.parser: h11.Connection | None = None
         self.head: h11.Request | None = None
-        self.over = False
+        self.is_over = False
         self.is_skipping = False
         self.keep_ms = IDLE_MS
         self.sent_at_ms: float | None = None
@@ -217,7 +217,7 @@
 
     def connection_ready(self) -> None:
         """Send the request on the established connection."""
-        if self.over:
+        if self.is_over:
             return
         self._stop_timer()
         self.parser = h11.Connection(
@@ -238,7 +238,7 @@
 
     def connection_ended(self, error: OSError | None) -> None:
         """Handle the end of the connection."""
-        if self.over:
+        if self.is_over:
             return
         if self.parser is None:
             self._fail(Fault.NOT_CONNECTED)
@@ -248,20 +248,20 @@
             # truncates the response.
             self.parser.receive_data(b'')
             self._read_events()
-        if not self.over:
+        if not self.is_over:
             self._fail(Fault.BROKEN)
 
     def cancel(self) -> None:
         """Abort the attempt and close its connection to the upstream."""
-        if self.over:
+        if self.is_over:
             return
-        self.over = True
+        self.is_over = True
         self._stop_timer()
         self.pool.drop(self.pooled)
 
     def _read_events(self) -> None:
         try:
-            while not self.over:
+            while not self.is_over:
                 event = self.parser.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return
@@ -330,7 +330,7 @@
             self.parser.receive_data(rest)
 
     def _finish(self) -> None:
-        self.over = True
+        self.is_over = True
         reusable = (
             self.parser.our_state is h11.DONE
             and self.parser.their_state is h11.DONE
@@ -345,14 +345,14 @@
         self.listener.response_completed(self)
 
     def _fail(self, fault: Fault) -> None:
-        self.over = True
+        self.is_over = True
         self._stop_timer()
         self.pool.drop(self.pooled)
         self.listener.attempt_failed(self, fault, self.has_sent_bytes)
 
     def _connect_timed_out(self) -> None:
         self.timer = None
-        if not self.over and self.parser is None:
+        if not self.is_over and self.parser is None:
             self._fail(Fault.NOT_CONNECTED)
 
     def _stop_timer(self) -> None:
