--- a/eelgrassknot/platform/__init__.py
+++ b/eelgrassknot/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: translates names, decides nothing."""
+"""Adapter of the users' platform: translates names and makes no decisions."""
--- a/eelgrassknot/platform/desired_state.py
+++ b/eelgrassknot/platform/desired_state.py
@@ -1,4 +1,4 @@
-"""Decodes the operators' desired state into the deployment's state."""
+"""Decoder of the operators' desired state."""
 
 import msgspec
 import result
@@ -14,7 +14,7 @@
 
 
 class _Struct(msgspec.Struct, rename='camel'):
-    """Fields that are not named here are ignored."""
+    """Base class; unknown fields are ignored."""
 
 
 class _Split(_Struct):
@@ -28,8 +28,8 @@
     prefix: str
     kind: str
     timeout_ms: float
-    # Time for the full worth of an answer; the last one that the platform
-    # calls a service level objective.
+    # Latency objective of a response. It is the only one of the objectives
+    # that the platform calls a service level objective.
     slo_ms: float = 0.0
     priority: int = 0
     service: str | None = None
@@ -47,9 +47,9 @@
     link_mbps: float = 0.0
     moves: bool = False
     backups: bool = False
-    # Tokens in one event of a stream.
+    # Number of tokens in one event of a stream.
     stride: int = 1
-    # Seconds, unlike its neighbours.
+    # In seconds, unlike the other durations.
     handle_s: float = 0.0
 
 
@@ -87,10 +87,10 @@
     """Decode a desired state.
 
     Args:
-        document: The JSON document that the store holds.
+        document: The JSON document from the store.
 
     Returns:
-        The state, or an error that names the JSON path at fault.
+        The state, or an error with the JSON path of the invalid field.
     """
     try:
         found = msgspec.json.decode(document, type=_DesiredState)
@@ -98,8 +98,8 @@
     except (msgspec.MsgspecError, ValueError) as error:
         return result.Err(
             exceptions.MalformedAnswerError(
-                f'the desired state cannot be read: {error}',
-                'correct the field that the message names and write again',
+                f'the desired state cannot be decoded: {error}',
+                'correct the field named in the message and write it again',
             )
         )
 
--- a/eelgrassknot/platform/engines.py
+++ b/eelgrassknot/platform/engines.py
@@ -1,4 +1,4 @@
-"""Calls to the engines of the users' platform."""
+"""Codec of the calls to the engines of the users' platform."""
 
 import h11
 import msgspec
@@ -13,28 +13,28 @@
 class _TransferRequest(msgspec.Struct):
     # Request-Id of the run.
     id: str
-    # IP:port of the engine that takes the memory.
+    # IP:port of the engine that receives the KV cache.
     to: str
-    # Whether the run stops first; its stream is then closed.
+    # Whether the run is stopped first, which closes its stream.
     last: bool
 
 
 class _TransferResponse(msgspec.Struct):
     handle: str | int
-    # Events generated so far, not a time.
+    # Number of events generated so far, not a timestamp.
     created: int = 0
 
 
 def encode_kv_transfer(
     address: str, request: ids.RequestId, target: str, stop: bool
 ) -> tuple[h11.Request, bytes]:
-    """Return the call that copies a run's memory to another engine.
+    """Encode the call that copies a run's KV cache to another engine.
 
     Args:
         address: Engine that runs the request, ``IP:port``.
         request: Identifier of the request.
-        target: Engine that takes the copy, ``IP:port``.
-        stop: Whether the run stops first.
+        target: Engine that receives the copy, ``IP:port``.
+        stop: Whether the run is stopped first.
     """
     body = msgspec.json.encode(_TransferRequest(request, target, stop))
     head = h11.Request(
@@ -50,10 +50,10 @@
 
 
 def decode_kv_transfer(status: int, body: bytes) -> str | None:
-    """Return the name of the copy, or None if there is none.
+    """Return the handle of the copy, or None if the transfer failed.
 
-    A refusal for want of room also names the copy that the source keeps,
-    but nothing is at the target then.
+    A refusal for lack of memory also contains the handle of the source's
+    own copy, but then there is no copy at the target.
     """
     if status != _OK:
         return None
--- a/eelgrassknot/platform/plugin.py
+++ b/eelgrassknot/platform/plugin.py
@@ -1,4 +1,4 @@
-"""Enters the adapter of the users' platform as a dialect."""
+"""Registration of the users' platform as a dialect."""
 
 from eelgrassknot.forwarding import dialect
 from eelgrassknot.platform import desired_state
--- a/eelgrassknot/platform/servers.py
+++ b/eelgrassknot/platform/servers.py
@@ -1,4 +1,4 @@
-"""Decodes the store's entries of servers into upstreams."""
+"""Decoder of the store's server entries."""
 
 import collections.abc
 
@@ -25,11 +25,11 @@
     address: str
     zone: str
     state: str
-    # Of one server, although services of engines carry the same name for
-    # all of theirs.
+    # Slots of this server. In the desired state, the field of the same name
+    # applies to each engine of a service.
     batch_slots: int = 1
     warmup_left_ms: float = 0.0
-    # Unix ms of the start: an incarnation, not an age.
+    # Start time in Unix ms, which identifies the incarnation; not an age.
     born: int = 0
 
 
@@ -38,11 +38,11 @@
     value: bytes,
     regions: collections.abc.Mapping[str, str],
 ) -> result.Result[model.Upstream, exceptions.MalformedAnswerError]:
-    """Decode one entry of a server.
+    """Decode the entry of a server.
 
     Args:
-        key: The entry's key, which is the server's id.
-        value: The entry's JSON document.
+        key: Key of the entry, which is the ID of the server.
+        value: JSON document of the entry.
         regions: Region of each availability zone.
     """
     try:
@@ -66,7 +66,7 @@
     except (msgspec.MsgspecError, ValueError, KeyError) as error:
         return result.Err(
             exceptions.MalformedAnswerError(
-                f'entry {key} names no server to use: {error!r}',
-                'see which program wrote it; the other entries are used',
+                f'the server entry {key} cannot be decoded: {error!r}',
+                'check the program that wrote it; the other entries are used',
             )
         )
--- a/eelgrassknot/platform/store.py
+++ b/eelgrassknot/platform/store.py
@@ -1,4 +1,4 @@
-"""The one client of the users' metadata store: rows and their feed."""
+"""Client of the users' metadata store: rows and their change feed."""
 
 import base64
 import io
@@ -14,14 +14,14 @@
 __all__ = ['Store']
 
 CONNECT_TIMEOUT_MS = 1_000
-"""Longest wait for a connection to the store; ms. One contact bound has
-room for four."""
+"""Timeout for a connection to the store; ms. Four of them fit into the
+contact bound."""
 READ_TIMEOUT_MS = 2_000
-"""Longest wait for the answer to a short call; ms."""
+"""Timeout for a short call; ms."""
 FEED_MARGIN_MS = 1_500
-"""How much longer than its wait a feed call may take; ms."""
+"""Time that a feed call may take beyond its wait; ms."""
 PAGE_ROWS = 500
-"""Most rows of one answer; the platform's limit."""
+"""Maximum number of rows in one response; a limit of the platform."""
 
 _OK = 200
 _CONDITION_FAILED = 412
@@ -42,14 +42,14 @@
 class _Response(msgspec.Struct, rename='camel'):
     # Newest version of the whole store, not of the rows.
     ver: int
-    # The store's steady clock, not the time of day.
+    # The store's monotonic clock, not the time of day.
     now_ms: float = 0.0
     rows: list[_Row] = []
     has_more: bool = False
 
 
 class Store:
-    """Client of the store; each thread takes one of its own.
+    """Client of the store; each thread needs its own instance.
 
     Args:
         address: ``IP:port`` of the store.
@@ -118,16 +118,16 @@
     def write_row(
         self, row: row_store.RowKey, value: bytes
     ) -> result.Result[None, row_store.StoreError]:
-        """Write a row whatever it holds; repeating it is harmless."""
+        """Write a row unconditionally; idempotent."""
         found = self._write_conditionally(row, value, [])
         return found.map(lambda _: None)
 
     def insert_row(
         self, row: row_store.RowKey, value: bytes
     ) -> result.Result[bool, row_store.StoreError]:
-        """Write a row if it is absent; return whether it was.
+        """Write a row if it is absent; return whether it was written.
 
-        After an unknown outcome the caller has to read the row.
+        After an unknown outcome the caller must read the row.
         """
         absent = {'table': row.table, 'part': '', 'key': row.key, 'ver': 0}
         found = self._write_conditionally(row, value, [absent])
@@ -140,7 +140,7 @@
     def delete_row(
         self, row: row_store.RowKey
     ) -> result.Result[None, row_store.StoreError]:
-        """Delete a row; repeating it is harmless."""
+        """Delete a row; idempotent."""
         entry = {'table': row.table, 'part': '', 'key': row.key}
         body = {'expectedRev': [], 'writes': [], 'deletes': [entry]}
         found = self._run_transaction(body)
@@ -211,7 +211,7 @@
         return _check_status(status, received.getvalue())
 
     def _discard_handle(self) -> None:
-        # A connection on which an answer was lost delivers nothing more.
+        # A connection on which a response was lost must not be reused.
         self.handle.close()
         self.handle = None
 
@@ -221,12 +221,12 @@
 ) -> row_store.StoreError:
     if is_write and error.args[0] != pycurl.E_COULDNT_CONNECT:
         return exceptions.UnknownOutcomeError(
-            f'no answer to a write: {error.args[1]}',
-            'read the row back before acting on it',
+            f'no response to a write: {error.args[1]}',
+            'read the row back before relying on it',
         )
     return exceptions.PlatformUnavailableError(
-        f'the store was not reached: {error.args[1]}',
-        'wait for the store; what is known stays in use',
+        f'the store is unreachable: {error.args[1]}',
+        'wait for the store; the known state remains in use',
     )
 
 
@@ -238,27 +238,27 @@
     if status == _HISTORY_GONE:
         return result.Err(
             row_store.HistoryGoneError(
-                'the store has dropped the changes asked for',
+                'the store no longer has the requested changes',
                 'read the whole table again',
             )
         )
     if status == _CONDITION_FAILED:
         return result.Err(
             row_store.ConditionFailedError(
-                'the condition of a write did not hold; nothing was written',
-                'read the row and decide anew',
+                'the condition of a write was not met; nothing was written',
+                'read the row and retry if the write still applies',
             )
         )
     if status in _REFUSED:
         return result.Err(
             exceptions.PlatformUnavailableError(
-                f'the store refused the call with {status}',
+                f'the store rejected the call with status {status}',
                 'call again later and less often',
             )
         )
     return result.Err(
         exceptions.MalformedAnswerError(
-            f'the store answered {status}: {body[:80]!r}',
+            f'unexpected status {status} from the store: {body[:80]!r}',
             'check that the address is the store of this deployment',
         )
     )
@@ -272,7 +272,7 @@
     except msgspec.MsgspecError as error:
         return result.Err(
             exceptions.MalformedAnswerError(
-                f'the answer of the store cannot be read: {error}',
+                f'the response of the store cannot be decoded: {error}',
                 'check that the address is the store of this deployment',
             )
         )
@@ -282,6 +282,7 @@
     try:
         value = base64.b64decode(row.value or '', validate=True)
     except ValueError:
-        # Written by another program; the decoder of its table rejects it.
+        # Written by another program. The empty value is rejected by the
+        # decoder of the table.
         value = b''
     return row_store.StoreRow(row.key, value, row.ver, row.deleted)
--- a/eelgrassknot/platform/wire.py
+++ b/eelgrassknot/platform/wire.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers on the users' platform."""
+"""HTTP headers of the users' platform."""
 
 import collections.abc
 
@@ -19,28 +19,28 @@
 Headers = collections.abc.Sequence[tuple[bytes, bytes]]
 
 REQUEST_ID = b'request-id'
-# Time the caller will wait from now, in ms; not a point in time.
+# How long the caller will wait from now, in ms; not a point in time.
 DEADLINE = b'request-deadline'
-# Holds the bare API key, without a scheme.
+# The bare API key, without a scheme.
 API_KEY = b'credential'
-# Name of the client account that holds the key.
+# Name of the client account that owns the key.
 CLIENT_ACCOUNT = b'tenant'
-# Prompt tokens and the *largest* number of output tokens.
+# Number of prompt tokens and *maximum* number of output tokens.
 TOKEN_COUNTS = b'token-counts'
 PROMPT_PARTS = b'prompt-prefix'
 OUTPUT_HINT = b'length-hint'
 LAST_EVENT = b'last-event-id'
-# Id of the upstream; no other may run the request.
+# ID of the upstream; no other upstream may run the request.
 EXPECTED_INSTANCE = b'expect-instance'
-# 0 to 9; 0 is the most urgent, 5 applies without the header.
+# 0 to 9; 0 is the most urgent and 5 the default.
 ENGINE_PRIORITY = b'request-priority'
-# Where a growing copy of the run's memory is kept, IP:port.
+# Engine that maintains an incremental copy of the run's KV cache, IP:port.
 KV_BACKUP = b'kv-backup'
-# Where a run's memory is to be taken from, IP:port/handle or /request id.
+# Source of a run's KV cache, IP:port/handle or /request ID.
 KV_SOURCE = b'kv-from'
-# Signature of the upstream; an answer without it is not the upstream's.
+# Signature of the upstream; a response without it is not from the upstream.
 SIGNATURE = b'server-stamp'
-# Present on an answer whose request the upstream did not run.
+# Present on a response if the upstream did not execute the request.
 NOT_EXECUTED = b'not-executed'
 
 _HOP_BY_HOP = frozenset(
@@ -96,11 +96,11 @@
 def forwarded_headers(
     raw_headers: Headers, metadata: dialect.ForwardingMetadata
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers with which a request goes to an upstream.
+    """Return the headers of a request to an upstream.
 
     Args:
-        raw_headers: The caller's headers in their own spelling.
-        facts: What is told beside them.
+        raw_headers: The caller's headers in their original spelling.
+        metadata: Metadata to add.
     """
     named = set()
     for name, value in raw_headers:
@@ -133,7 +133,7 @@
 
 
 def response_headers(raw_headers: Headers) -> list[tuple[bytes, bytes]]:
-    """Return the headers of an upstream's answer that the caller gets."""
+    """Return the headers of a response that are forwarded to the caller."""
     return [
         (name, value)
         for name, value in raw_headers
@@ -142,17 +142,17 @@
 
 
 def echoed_request_id(headers: Headers) -> ids.RequestId | None:
-    """Return the request that an answer says it belongs to."""
+    """Return the request ID that a response echoes, or None."""
     return _parse_request_id(_lowercase_names(headers).get(REQUEST_ID))
 
 
 def is_signed(headers: Headers) -> bool:
-    """Return whether an answer bears the signature of an upstream."""
+    """Return whether a response carries the signature of an upstream."""
     return SIGNATURE in _lowercase_names(headers)
 
 
 def declares_not_executed(status: int, headers: Headers) -> bool:
-    """Return whether the upstream promises that it did not run it."""
+    """Return whether a response guarantees that nothing was executed."""
     return status == MISDIRECTED or NOT_EXECUTED in _lowercase_names(headers)
 
 
@@ -200,7 +200,7 @@
             ),
         )
     except ValueError:
-        # An opaque request may use the header in another way.
+        # An opaque request may use the header for another purpose.
         return None
 
 
--- a/tests/platform/translation.feature
+++ b/tests/platform/translation.feature
@@ -1,6 +1,6 @@
-Feature: Names of the users' platform are decoded once
+Feature: Translation between the users' platform and the internal model
 
-  Scenario: headers that are the system's own never come from a caller
+  Scenario: reserved headers of a caller are not forwarded
     Then a request with these headers is forwarded without them
       | header           |
       | Credential       |
@@ -16,7 +16,7 @@
       | Connection       |
       | X-Named          |
 
-  Scenario: the upstream is told the time left, its name and the account
+  Scenario: the remaining time, the upstream and the account are added
     Then a request is forwarded with these headers
       | header           | value |
       | Request-Deadline | 1234  |
@@ -25,8 +25,8 @@
       | Request-Id       | q1    |
       | X-Other          | kept  |
 
-  Scenario Outline: what a caller says of a generation
-    Then the counts <counts> with the parts <parts> are read as <meaning>
+  Scenario Outline: decoding of a caller's generation headers
+    Then the counts <counts> with the parts <parts> are decoded as <meaning>
 
     Examples:
       | counts   | parts         | meaning          |
@@ -36,7 +36,7 @@
       | 1460     | none          | no generation    |
       | 1460,80  | 5c            | no generation    |
 
-  Scenario Outline: entries that name no server to use do not stop the others
+  Scenario Outline: invalid server entries are rejected one by one
     Then the entry <entry> <outcome>
 
     Examples:
@@ -48,16 +48,16 @@
       | {"service":"s","zone":"z","state":"ready"}                           | is rejected |
       | [1,2                                                                 | is rejected |
 
-  Scenario: a desired state is read into the project's words
+  Scenario: a desired state is decoded into the internal model
     Given the desired state of the stand-in
-    Then its version, routes, services, accounts and limits are read
+    Then its version, routes, services, accounts and limits are decoded
 
-  Scenario: a desired state with a wrong field names it
+  Scenario: the error for an invalid desired state names the value
     Given the desired state of the stand-in
     When the field "kind" of its first route is "odd"
-    Then reading it fails and names "odd"
+    Then decoding fails with an error that names "odd"
 
-  Scenario: settings with an unknown or missing field name it and the remedy
-    Then settings with the unknown field "colour" are refused with its name
-    And settings without "region" are refused with its name
-    And settings with the address "here" are refused with its name
+  Scenario: the error for invalid settings names the field and a remedy
+    Then settings with the unknown field "colour" are rejected with an error naming it
+    And settings without "region" are rejected with an error naming it
+    And settings with the address "here" are rejected with an error naming it
--- a/tests/steps/platform_translation.py
+++ b/tests/steps/platform_translation.py
@@ -1,4 +1,4 @@
-"""Steps on the adapter of the users' platform."""
+"""Steps for the adapter of the users' platform."""
 
 import json
 import pathlib
@@ -38,7 +38,7 @@
 
 
 @behave.then(
-    'the counts {counts} with the parts {parts} are read as {meaning}'
+    'the counts {counts} with the parts {parts} are decoded as {meaning}'
 )
 def counts_read(context, counts, parts, meaning):
     headers = [(b'Token-Counts', counts.encode())]
@@ -69,7 +69,7 @@
     return desired_state.decode_state(json.dumps(context.state).encode())
 
 
-@behave.then('its version, routes, services, accounts and limits are read')
+@behave.then('its version, routes, services, accounts and limits are decoded')
 def state_read(context):
     state = _decode(context).ok_value
     assert state.version == 3
@@ -86,7 +86,7 @@
     context.state['routes'][0][field] = value
 
 
-@behave.then('reading it fails and names "{word}"')
+@behave.then('decoding fails with an error that names "{word}"')
 def reading_fails(context, word):
     assert word in str(_decode(context).err_value)
 
@@ -110,20 +110,24 @@
 
 
 @behave.then(
-    'settings with the unknown field "{name}" are refused with its name'
+    'settings with the unknown field "{name}" are rejected with an error '
+    'naming it'
 )
 def unknown_field(context, name):
     told = _settings(lambda document: document.update({name: 1}))
     assert name in told and 'remedy' in told, told
 
 
-@behave.then('settings without "{name}" are refused with its name')
+@behave.then('settings without "{name}" are rejected with an error naming it')
 def missing_field(context, name):
     told = _settings(lambda document: document.pop(name))
     assert name in told and 'remedy' in told, told
 
 
-@behave.then('settings with the address "{address}" are refused with its name')
+@behave.then(
+    'settings with the address "{address}" are rejected with an error '
+    'naming it'
+)
 def wrong_address(context, address):
     told = _settings(
         lambda document: document['listen'].update(callers=address)
