--- a/eelgrassknot/entry.py
+++ b/eelgrassknot/entry.py
@@ -70,7 +70,7 @@
         self.dialect = dialect
         self.generator = random.Random(ids.random_id())
         self.loop = loops.EventLoop(clocks.BootClock())
-        upstream_health = health.HealthBook()
+        upstream_health = health.HealthTracker()
         region = ids.RegionId(settings.region)
         self.scheduler = engine_scheduler.EngineScheduler(
             self.loop, region, upstream_health
--- a/eelgrassknot/forwarding/call_driver.py
+++ b/eelgrassknot/forwarding/call_driver.py
@@ -206,7 +206,9 @@
 
     def _send(self, action: messages.Send) -> None:
         self.upstream = action.upstream
-        self.context.health.asked(action.upstream.upstream, self.now_ms())
+        self.context.health.request_sent(
+            action.upstream.upstream, self.now_ms()
+        )
         self.awaiting_response = True
         self.attempt = works.send(
             self.context,
@@ -275,14 +277,14 @@
         self.awaiting_response = False
         health = self.context.health
         if responded:
-            health.heard(self.upstream.upstream, self.now_ms())
+            health.response_started(self.upstream.upstream, self.now_ms())
         else:
-            health.abandoned(self.upstream.upstream)
+            health.request_abandoned(self.upstream.upstream)
 
     def _eject_if_unresponsive(self) -> None:
         """Eject an upstream that has responded to no call of late."""
         health, now_ms = self.context.health, self.now_ms()
-        if self.awaiting_response and health.is_mute(
+        if self.awaiting_response and health.is_unresponsive(
             self.upstream.upstream, now_ms
         ):
             logs.event('upstream_mute', upstream=self.upstream.upstream)
@@ -290,9 +292,11 @@
 
     def _record_health(self, succeeded: bool) -> None:
         if succeeded:
-            self.context.health.succeeded(self.upstream.upstream)
+            self.context.health.record_success(self.upstream.upstream)
         else:
-            self.context.health.failed(self.upstream.upstream, self.now_ms())
+            self.context.health.record_failure(
+                self.upstream.upstream, self.now_ms()
+            )
 
     def _finish(self, reason: str) -> None:
         self.cancel_timeout()
--- a/eelgrassknot/forwarding/engine_scheduler.py
+++ b/eelgrassknot/forwarding/engine_scheduler.py
@@ -47,7 +47,7 @@
         self,
         loop: loops.EventLoop,
         region: ids.RegionId,
-        health: health.HealthBook,
+        health: health.HealthTracker,
     ) -> None:
         self.loop = loop
         self.region = region
@@ -89,7 +89,7 @@
         self.schedule_step()
 
     def submit(
-        self, order: engine_queue.Order, callback: PlacementCallback
+        self, order: engine_queue.PlacementRequest, callback: PlacementCallback
     ) -> None:
         """Enqueue a stream; it is placed at once if an engine has room."""
         self.callbacks[order.request] = callback
@@ -99,7 +99,7 @@
     def withdraw(self, request: ids.RequestId) -> None:
         """Remove a waiting stream from the queue."""
         self.callbacks.pop(request, None)
-        self.queue.withdraw(request)
+        self.queue.cancel(request)
 
     def commitment(
         self, request: ids.RequestId
@@ -134,7 +134,7 @@
         commitment.copy = None
         engine = self.queue.place_copy(
             primary.service,
-            engine_pairs.Place(
+            engine_pairs.Location(
                 primary.upstream, primary.region, primary.availability_zone
             ),
             commitment.tokens,
--- a/eelgrassknot/forwarding/peer_discovery.py
+++ b/eelgrassknot/forwarding/peer_discovery.py
@@ -107,7 +107,9 @@
     def broadcast(self, message: messages.Message) -> None:
         """Send a message to the zone, or to all peers in a full mesh."""
         if self.link is not None:
-            self.link.broadcast(list(self.membership.links.zone), message)
+            self.link.broadcast(
+                list(self.membership.links.zone_peers), message
+            )
 
     def send_far(
         self,
@@ -182,7 +184,7 @@
             [key.ok_value[0]],
         )
         link = peer_link.PeerLink(
-            self.row.address, codec, self.clock, gather_ms=0.0
+            self.row.address, codec, self.clock, batch_delay_ms=0.0
         )
         self.register_handlers(link)
         link.start()
--- a/eelgrassknot/forwarding/peer_load.py
+++ b/eelgrassknot/forwarding/peer_load.py
@@ -63,9 +63,9 @@
             for entry in message.engines
         }
         now_ms = self.loop.now_ms()
-        self.commitment_totals.take_peer(source, sums, now_ms)
+        self.commitment_totals.update_peer(source, sums, now_ms)
         self.calls[source] = (now_ms, dict(message.calls))
-        self.plain_pool.others = self._count_calls(None)
+        self.plain_pool.peer_running = self._count_calls(None)
         if self.scheduler.queue.waiting:
             self.scheduler.schedule_step()
 
--- a/eelgrassknot/forwarding/peer_membership.py
+++ b/eelgrassknot/forwarding/peer_membership.py
@@ -56,7 +56,7 @@
     Example:
         >>> membership = PeerMembership('a', 'z')
         >>> membership.update_rows({'b': VmRow('10.0.0.2:1', 'y')}, 0.0)
-        >>> membership.plan_links(0.0).zone
+        >>> membership.plan_links(0.0).zone_peers
         {'b': '10.0.0.2:1'}
     """
 
@@ -116,7 +116,7 @@
                 self.vm,
                 self.availability_zone,
                 {
-                    vm: zone_links.Place(
+                    vm: zone_links.LinkCandidate(
                         row.availability_zone,
                         row.address,
                         self._may_be_gateway(vm, row, now_ms),
--- a/eelgrassknot/forwarding/replicated_state.py
+++ b/eelgrassknot/forwarding/replicated_state.py
@@ -334,7 +334,7 @@
         query = messages.RowsFetch(
             remote.table, watermark.version if watermark else 0
         )
-        future = self.peers.link.ask(vm, query)
+        future = self.peers.link.send_query(vm, query)
         future.add_done_callback(
             lambda done: self.loop.call_soon(
                 functools.partial(self._receive_reply, done)
--- a/eelgrassknot/forwarding/stream_driver.py
+++ b/eelgrassknot/forwarding/stream_driver.py
@@ -158,7 +158,9 @@
                 attempt, upstream_connection.Fault.MALFORMED, True
             )
             return
-        self.context.health.failed(attempt.upstream.upstream, self.now_ms())
+        self.context.health.record_failure(
+            attempt.upstream.upstream, self.now_ms()
+        )
         self._log_attempt(attempt, f'status_{attempt.status}')
         self.dispatch(messages.Headed(attempt.number, False))
 
@@ -169,13 +171,15 @@
         bytes_left: bool,
     ) -> None:
         """Handle an attempt that ended early."""
-        self.context.health.failed(attempt.upstream.upstream, self.now_ms())
+        self.context.health.record_failure(
+            attempt.upstream.upstream, self.now_ms()
+        )
         self._log_attempt(attempt, fault.value)
         self.dispatch(messages.Broken(attempt.number, bytes_left))
 
     def record_success(self, attempt: _StreamAttempt) -> None:
         """Record a complete response in the upstream's health."""
-        self.context.health.succeeded(attempt.upstream.upstream)
+        self.context.health.record_success(attempt.upstream.upstream)
 
     # Actions of the state machine
 
@@ -216,13 +220,13 @@
             output = commitments.forecast_output(
                 profile.max_output_tokens, profile.output_hint
             )
-        need = engine_pairs.Need(
+        need = engine_pairs.RunRequirements(
             self.context.scheduler.region,
             prompt,
             max(0, output - produced),
             self.machine.rules.can_copy and not self.machine.rules.resumable,
         )
-        order = engine_queue.Order(
+        order = engine_queue.PlacementRequest(
             self.work.request,
             self.work.service.name,
             self.work.priority,
--- a/eelgrassknot/forwarding/work.py
+++ b/eelgrassknot/forwarding/work.py
@@ -45,7 +45,7 @@
     connections: upstream_connection.ConnectionPool
     dialect: dialect.Dialect
     generator: random.Random
-    health: health.HealthBook
+    health: health.HealthTracker
     plain_pool: plain.PlainPool
     scheduler: 'engine_scheduler.EngineScheduler'
     retry_ratio: float
@@ -58,10 +58,10 @@
         """Return the retry budget of a service."""
         share = self.retry_burst()
         if service not in self.budgets:
-            self.budgets[service] = retry_budget.RetryBudget.of_vm(
+            self.budgets[service] = retry_budget.RetryBudget.for_vm(
                 self.retry_ratio, share
             )
-        self.budgets[service].limit_share(share)
+        self.budgets[service].set_share(share)
         return self.budgets[service]
 
 
--- a/eelgrassknot/forwarding/zone_digests.py
+++ b/eelgrassknot/forwarding/zone_digests.py
@@ -73,7 +73,7 @@
         if zone == self.zone or now_ms - contact_ms <= DIRECT_CONTACT_MS:
             return
         self.peer_load.update(('zone', zone), message)
-        if vm in self.replicated_state.peers.membership.links.far:
+        if vm in self.replicated_state.peers.membership.links.remote_gateways:
             self.to_relay[zone] = msgspec.structs.replace(message, marks=())
 
     def _publish(self) -> None:
@@ -83,7 +83,7 @@
         relayed, self.to_relay = self.to_relay, {}
         for message in relayed.values():
             peers.broadcast(message)
-        far = self._due_gateways(peers.membership.links.far)
+        far = self._due_gateways(peers.membership.links.remote_gateways)
         if far:
             peers.send_far(far, self._digest())
 
--- a/tests/peer_world.py
+++ b/tests/peer_world.py
@@ -63,7 +63,7 @@
         self.sent = collections.Counter()
         self.membership = peer_membership.PeerMembership(vm, zone)
         loop = cluster.loop
-        book = health.HealthBook()
+        book = health.HealthTracker()
         region = cluster.regions[zone]
         self.scheduler = engine_scheduler.EngineScheduler(loop, region, book)
         pool = plain.PlainPool(region, random.Random(1), book)
@@ -117,7 +117,7 @@
         return self.membership.zone_members(self.cluster.loop.now_ms())
 
     def broadcast(self, message):
-        self.send_far(list(self.membership.links.zone), message)
+        self.send_far(list(self.membership.links.zone_peers), message)
 
     def send_far(self, vms, message):
         if self.alive:
@@ -176,6 +176,6 @@
         """Return the live VMs with links to other zones, by zone."""
         found = collections.defaultdict(list)
         for vm, peer in self.vms.items():
-            if peer.alive and peer.membership.links.far:
+            if peer.alive and peer.membership.links.remote_gateways:
                 found[peer.zone].append(vm)
         return found
--- a/tests/steps/forwarding_peers.py
+++ b/tests/steps/forwarding_peers.py
@@ -80,8 +80,8 @@
 @behave.then('each VM is linked to {count:d} others and is no gateway')
 def all_linked(context, count):
     for peer in context.cluster.vms.values():
-        assert len(peer.membership.links.zone) == count
-        assert not peer.membership.links.far
+        assert len(peer.membership.links.zone_peers) == count
+        assert not peer.membership.links.remote_gateways
 
 
 @behave.then(
@@ -94,13 +94,13 @@
     for vms in gateways.values():
         assert len(vms) == count, vms
         for vm in vms:
-            assert len(cluster.vms[vm].membership.links.far) == far
+            assert len(cluster.vms[vm].membership.links.remote_gateways) == far
 
 
 @behave.then('no other VM is linked to more than {count:d}')
 def others_linked(context, count):
     for peer in context.cluster.vms.values():
-        if not peer.membership.links.far:
+        if not peer.membership.links.remote_gateways:
             assert len(peer.membership.links.addresses) <= count
 
 
