--- a/eelgrassknot/frontend/relay.py
+++ b/eelgrassknot/frontend/relay.py
@@ -157,7 +157,7 @@
             case messages.AskStatus(probe, upstream, generation):
                 self.probe_number = probe
                 self.probe = self.part.questions.submit(
-                    engine_client.status, upstream.address, generation
+                    engine_client.fetch_status, upstream.address, generation
                 )
             case messages.CancelGeneration():
                 self._cancel(action)
@@ -209,7 +209,7 @@
 
     def _close(self) -> None:
         if self.stream is not None:
-            self.bytes_in += self.stream.bytes_in
+            self.bytes_in += self.stream.received_bytes
             self.stream.close()
             self.stream = None
 
@@ -300,7 +300,7 @@
     def _may_ride(self) -> bool:
         if self.encode is None or self.probe is not None:
             return False
-        return self.stream.flows()
+        return self.stream.is_streaming()
 
     def _take_ready(self) -> list[messages.Action]:
         # A slow caller may have kept this stream from being read.
--- a/eelgrassknot/frontend/relay_part.py
+++ b/eelgrassknot/frontend/relay_part.py
@@ -190,7 +190,7 @@
         ][:MAX_ENGINES_ASKED]
         asked = {
             self.questions.submit(
-                engine_client.status, engine.address, generation
+                engine_client.fetch_status, engine.address, generation
             ): engine
             for engine in engines
         }
--- a/eelgrassknot/storage/http.py
+++ b/eelgrassknot/storage/http.py
@@ -17,7 +17,7 @@
 READ_TIMEOUT_MS = 2_000
 WRITE_TIMEOUT_MS = 3_000
 
-_CONFLICTS = (409, 412)
+_CONFLICT_STATUSES = (409, 412)
 
 
 class _Transaction(msgspec.Struct):
@@ -26,34 +26,34 @@
     writes: collections.abc.Sequence[base.Write]
 
 
-class _RowAnswer(msgspec.Struct):
+class _RowResponse(msgspec.Struct):
     value: typing.Any
     version: int
 
 
-class _Rows(msgspec.Struct):
+class _RowsResponse(msgspec.Struct):
     rows: list[base.Row]
 
 
-class _FailedRow(msgspec.Struct):
+class _ConflictingRow(msgspec.Struct):
     table: str
     key: str
     version: int | None
 
 
-class _Failed(msgspec.Struct):
-    failed: _FailedRow
+class _ConflictResponse(msgspec.Struct):
+    failed: _ConflictingRow
 
 
-class _Keys(msgspec.Struct):
+class _KeysResponse(msgspec.Struct):
     keys: list[str]
 
 
-class _Vms(msgspec.Struct):
+class _VmsResponse(msgspec.Struct):
     vms: list[base.VmEntry]
 
 
-Answer = typing.TypeVar('Answer')
+Response = typing.TypeVar('Response')
 
 
 def _quote(text: str) -> str:
@@ -62,8 +62,8 @@
 
 
 def _decode(
-    body: bytes, kind: type[Answer]
-) -> result.Result[Answer, exceptions.MalformedAnswerError]:
+    body: bytes, kind: type[Response]
+) -> result.Result[Response, exceptions.MalformedAnswerError]:
     try:
         return result.Ok(msgspec.json.decode(body, type=kind))
     except msgspec.MsgspecError as error:
@@ -82,7 +82,7 @@
     )
 
 
-def _unknown(reason: object) -> exceptions.UnknownOutcomeError:
+def _unknown_outcome(reason: object) -> exceptions.UnknownOutcomeError:
     return exceptions.UnknownOutcomeError(
         f'the platform gave no clear answer: {reason}',
         'read back what was written before acting on it',
@@ -100,8 +100,8 @@
         self.url = url.rstrip('/')
 
     def _read(
-        self, path: str, kind: type[Answer]
-    ) -> result.Result[Answer | None, base.PlatformError]:
+        self, path: str, kind: type[Response]
+    ) -> result.Result[Response | None, base.PlatformError]:
         match self._get(path):
             case result.Ok(None):
                 return result.Ok(None)
@@ -144,9 +144,9 @@
             case result.Err(error) if not error.bytes_left:
                 return result.Err(_unavailable(error.message))
             case result.Err(error):
-                return result.Err(_unknown(error.message))
+                return result.Err(_unknown_outcome(error.message))
             case result.Ok(done) if done.status >= 500:
-                return result.Err(_unknown(f'status {done.status}'))
+                return result.Err(_unknown_outcome(f'status {done.status}'))
             case _:
                 return answer
 
@@ -168,7 +168,7 @@
             case result.Ok(http_client.HttpAnswer(status=200, body=body)):
                 return _decode(body, base.Versions)
             case result.Ok(http_client.HttpAnswer(status=409, body=body)):
-                return _decode(body, _Failed).and_then(_conflict)
+                return _decode(body, _ConflictResponse).and_then(_conflict)
             case result.Ok(other):
                 return result.Err(_unavailable(f'status {other.status}'))
             case _:
@@ -179,7 +179,7 @@
     ) -> result.Result[base.Row | None, base.PlatformError]:
         """Return a row, or None if it is absent."""
         path = f'/rows/{_quote(table)}/{_quote(key)}'
-        return self._read(path, _RowAnswer).map(
+        return self._read(path, _RowResponse).map(
             lambda row: row and base.Row(key, row.value, row.version)
         )
 
@@ -191,7 +191,7 @@
             {'prefix': prefix, 'after': after, 'limit': limit}
         )
         path = f'/rows/{_quote(table)}?{query}'
-        return self._read(path, _Rows).map(
+        return self._read(path, _RowsResponse).map(
             lambda answer: answer.rows if answer else []
         )
 
@@ -206,7 +206,7 @@
         headers = {'If-None-Match': '*'} if only_if_absent else {}
         answer = self._write('PUT', f'/objects/{_quote(key)}', body, headers)
         match answer:
-            case result.Ok(done) if done.status in _CONFLICTS:
+            case result.Ok(done) if done.status in _CONFLICT_STATUSES:
                 error = exceptions.RowConflictError('objects', key, None)
                 return result.Err(error)
             case result.Ok(done) if done.status >= 300:
@@ -228,7 +228,7 @@
     ) -> result.Result[list[str], base.PlatformError]:
         """Return the keys that begin with a prefix."""
         path = f'/objects?prefix={_quote(prefix)}'
-        return self._read(path, _Keys).map(
+        return self._read(path, _KeysResponse).map(
             lambda answer: answer.keys if answer else []
         )
 
@@ -240,13 +240,13 @@
         self,
     ) -> result.Result[list[base.VmEntry], base.PlatformError]:
         """Return the list as the platform has it now."""
-        return self._read('/vms', _Vms).map(
+        return self._read('/vms', _VmsResponse).map(
             lambda answer: answer.vms if answer else []
         )
 
 
 def _conflict(
-    answer: _Failed,
+    answer: _ConflictResponse,
 ) -> result.Result[base.Versions, exceptions.RowConflictError]:
     row = answer.failed
     error = exceptions.RowConflictError(row.table, row.key, row.version)
--- a/tests/coordination/fleet.py
+++ b/tests/coordination/fleet.py
@@ -123,7 +123,9 @@
 
     def held(self, name):
         version = self.version[name]
-        held = [upstream_messages.HeldModel(MODEL, version)] if version else []
+        held = (
+            [upstream_messages.LoadedModel(MODEL, version)] if version else []
+        )
         loading = [
             orders.LoadingModel(MODEL, version)
             for loading, (_, version) in self.loading.items()
