--- a/eelgrassknot/forwarding/caller_connection.py
+++ b/eelgrassknot/forwarding/caller_connection.py
@@ -1,4 +1,4 @@
-"""Callers' connections: HTTP/1.1 requests in, answers out, in order."""
+"""Caller connections: HTTP/1.1 requests and their responses, in order."""
 
 import collections.abc
 import dataclasses
@@ -18,26 +18,26 @@
 __all__ = ['CallerConnection', 'CallerRequest', 'DEFAULT_LIMITS', 'Exchange']
 
 DEFAULT_LIMITS = model.CallerLimits(16_384, 4_194_304, 3_000.0, 15_000.0)
-"""Limits before the first desired state is known."""
-IDLE_MARGIN = 1.1
-"""An idle connection is kept for this much of the stated time, so that a
-caller that keeps to it never meets our close."""
+"""Limits in effect until the first desired state is read."""
+IDLE_TIMEOUT_FACTOR = 1.1
+"""Factor by which the idle timeout exceeds the configured time, so that a
+caller that honours the configured time never sees the server close."""
 LINGER_MS = 1_000.0
-"""How long the rest of a rejected body is read before the close; ms."""
-HEAD_SLACK_BYTES = 4_096
+"""How long the rest of a rejected body is read before closing; ms."""
+HEAD_MARGIN_BYTES = 4_096
 
 Headers = list[tuple[bytes, bytes]]
 
 
 @dataclasses.dataclass(frozen=True)
 class CallerRequest:
-    """One request, read whole.
+    """One complete request.
 
     Attributes:
-        headers: Pairs with the names in lower case.
-        raw_headers: The same in the caller's own spelling.
-        received_ms: When its head had come.
-        has_body: Whether the caller framed a body, even an empty one.
+        headers: Pairs of name and value, with lowercase names.
+        raw_headers: The same pairs with the caller's spelling of the names.
+        received_ms: When the head was complete.
+        has_body: Whether the request frames a body, even an empty one.
     """
 
     method: bytes
@@ -50,26 +50,27 @@
 
 
 class Server(typing.Protocol):
-    """What a caller's connection needs of the program behind it."""
+    """Interface of the server that handles the requests."""
 
     loop: loops.EventLoop
     limits: model.CallerLimits
     draining: bool
 
     def handle(self, exchange: 'Exchange') -> None:
-        """Take a request; its exchange is ended by the server."""
+        """Handle a request; the server must complete its exchange."""
 
-    def forget(self, connection: 'CallerConnection') -> None:
-        """Take in that a connection has ended."""
+    def connection_closed(self, connection: 'CallerConnection') -> None:
+        """Remove a connection that has been closed."""
 
 
 class Exchange:
-    """One request of a caller and the answer to it.
+    """One request of a caller and its response.
 
     Attributes:
-        gone: Called once with the reason if the exchange ends early.
-        is_over: Whether the answer is complete or the caller has left.
-        started: Whether the head of the answer was sent.
+        on_abort: Called once with the reason if the exchange ends early.
+        is_over: Whether the response is complete or the caller has
+            disconnected.
+        started: Whether the head of the response has been sent.
     """
 
     def __init__(
@@ -77,17 +78,17 @@
     ) -> None:
         self.connection = connection
         self.request = request
-        self.gone: collections.abc.Callable[[str], None] | None = None
+        self.on_abort: collections.abc.Callable[[str], None] | None = None
         self.is_over = False
         self.started = False
 
     def start(self, status: int, headers: Headers) -> None:
-        """Send the head of the answer.
+        """Send the head of the response.
 
         Args:
-            status: Its status.
-            headers: Its headers; with a Content-Length the body is framed
-                by length, else in chunks.
+            status: HTTP status code.
+            headers: Response headers. With a Content-Length the body is
+                framed by length, otherwise it is chunked.
         """
         self.started = True
         if self.connection.server.draining:
@@ -102,36 +103,36 @@
             self.connection.send(h11.Data(data=data))
 
     def finish(self) -> None:
-        """End the answer as complete."""
+        """Complete the response."""
         self.is_over = True
-        self.connection.finish()
+        self.connection.finish_response()
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         length = str(len(body)).encode('ascii')
         self.start(status, [*headers, (b'Content-Length', length)])
         self.send(body)
         self.finish()
 
-    def break_off(self) -> None:
-        """End the connection so that the answer can't look complete."""
+    def abort(self) -> None:
+        """Reset the connection so that the response cannot look complete."""
         self.is_over = True
         self.connection.abort()
 
-    def end_early(self, reason: str) -> None:
-        """Take in that the answer can't be brought to its end."""
+    def notify_aborted(self, reason: str) -> None:
+        """Report that the response cannot be completed."""
         if self.is_over:
             return
         self.is_over = True
-        if self.gone is not None:
-            self.gone(reason)
+        if self.on_abort is not None:
+            self.on_abort(reason)
 
 
 class CallerConnection(connections.Handler):
     """A connection on which one caller sends requests.
 
     Args:
-        server: The program behind it.
+        server: Server that handles the requests.
         stream: The accepted socket.
     """
 
@@ -141,7 +142,7 @@
         self.parser = h11.Connection(
             h11.SERVER,
             max_incomplete_event_size=self.limits.header_bytes
-            + HEAD_SLACK_BYTES,
+            + HEAD_MARGIN_BYTES,
         )
         self.head: h11.Request | None = None
         self.head_ms = 0.0
@@ -149,9 +150,11 @@
         self.exchange: Exchange | None = None
         self.timer: loops.Timer | None = None
         self.rejected = False
-        self.awaits_first_byte = False
-        self.link = connections.Connection.accepted(server.loop, stream, self)
-        self._expect_head()
+        self.awaiting_first_byte = False
+        self.transport = connections.Connection.accepted(
+            server.loop, stream, self
+        )
+        self._await_head()
 
     @property
     def is_idle(self) -> bool:
@@ -159,35 +162,35 @@
         return self.exchange is None and self.head is None
 
     def received(self, data: bytes) -> None:
-        """Take in bytes of the caller."""
+        """Parse bytes from the caller."""
         if self.rejected:
             return
         self.parser.receive_data(data)
         if self.exchange is None:
-            if self.awaits_first_byte:
-                self._expect_rest_of_head()
+            if self.awaiting_first_byte:
+                self._await_rest_of_head()
             self._read_events()
         elif len(self.parser.trailing_data[0]) > self.limits.body_bytes:
             self.abort()
-            self.ended(OSError(errno.ENOBUFS, 'too much sent ahead'))
+            self.ended(OSError(errno.ENOBUFS, 'too many pipelined bytes'))
 
     def ended(self, error: OSError | None) -> None:
-        """Take in that the caller's end has closed or broken."""
-        self.link.abort() if error else self.link.close()
+        """Handle a connection that the caller closed or that broke."""
+        self.transport.abort() if error else self.transport.close()
         self._stop_timer()
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
-            exchange.end_early('caller_left')
-        self.server.forget(self)
+            exchange.notify_aborted('caller_left')
+        self.server.connection_closed(self)
 
     def send(self, event: h11.Event) -> None:
-        """Send a part of an answer."""
+        """Send a part of a response."""
         data = self.parser.send(event)
         if data:
-            self.link.send(data)
+            self.transport.send(data)
 
-    def finish(self) -> None:
-        """End the present answer and go on to the next request."""
+    def finish_response(self) -> None:
+        """Complete the current response and read the next request."""
         self.send(h11.EndOfMessage())
         self.exchange = None
         if self.rejected:
@@ -200,55 +203,55 @@
             return
         self.parser.start_next_cycle()
         self.limits = self.server.limits
-        self._expect_head()
-        # In a later round, so that a row of answers can't recurse.
+        self._await_head()
+        # Deferred, so that a series of pipelined requests cannot recurse.
         self.server.loop.call_soon(self._read_events)
 
     def close_idle(self) -> None:
-        """Close if nothing is in hand."""
+        """Close the connection if no request is in progress."""
         if self.is_idle and not self.parser.trailing_data[0]:
             self._close()
 
     def abort(self) -> None:
-        """End the connection with a reset."""
+        """Close the connection with a reset."""
         self._stop_timer()
         self.exchange = None
-        self.link.abort()
-        self.server.forget(self)
+        self.transport.abort()
+        self.server.connection_closed(self)
 
     def _close(self) -> None:
         self._stop_timer()
-        self.link.close()
-        self.server.forget(self)
+        self.transport.close()
+        self.server.connection_closed(self)
 
     def _read_events(self) -> None:
         try:
-            while self.exchange is None and not self.link.closed:
+            while self.exchange is None and not self.transport.closed:
                 event = self.parser.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return
-                self._take(event)
+                self._handle_event(event)
         except h11.RemoteProtocolError as error:
             self._reject(error.error_status_hint, str(error))
 
-    def _take(self, event: h11.Event) -> None:
+    def _handle_event(self, event: h11.Event) -> None:
         match event:
             case h11.Request():
-                self._begin(event)
+                self._begin_request(event)
             case h11.Data():
                 self.body += event.data
                 if len(self.body) > self.limits.body_bytes:
                     self._reject(413, 'the body is over the limit')
             case h11.EndOfMessage():
-                self._complete()
+                self._complete_request()
             case h11.ConnectionClosed():
                 self._close()
 
-    def _begin(self, head: h11.Request) -> None:
+    def _begin_request(self, head: h11.Request) -> None:
         self.head = head
         self.head_ms = self.server.loop.now_ms()
         self.body = bytearray()
-        # The limit on the time of a head does not hold for the body.
+        # The header timeout does not apply to the body.
         self._stop_timer()
         self._start_timer(self.limits.idle_timeout_ms)
         found = dict(head.headers)
@@ -260,7 +263,7 @@
         if self.parser.they_are_waiting_for_100_continue:
             self.send(h11.InformationalResponse(status_code=100, headers=[]))
 
-    def _complete(self) -> None:
+    def _complete_request(self) -> None:
         self._stop_timer()
         head, self.head = self.head, None
         names = {name for name, _ in head.headers}
@@ -275,13 +278,13 @@
         )
         self.body = bytearray()
         self.exchange = Exchange(self, request)
-        self._hand_over(self.exchange)
+        self._dispatch(self.exchange)
 
-    def _hand_over(self, exchange: Exchange) -> None:
-        """Have a request served; an error in that closes the connection.
+    def _dispatch(self, exchange: Exchange) -> None:
+        """Pass a request to the server; an exception resets the connection.
 
-        The caller learns at once that no answer will come, and is told
-        nothing about whether the request has run.
+        The caller learns at once that no response will come, but not
+        whether the request was executed.
         """
         try:
             self.server.handle(exchange)
@@ -291,7 +294,7 @@
             self.abort()
 
     def _reject(self, status: int, reason: str) -> None:
-        """Answer a request that cannot be read, then end the connection."""
+        """Respond to a malformed request, then close the connection."""
         if self.rejected:
             return
         logs.warning('request_rejected', status=status, why=reason)
@@ -318,21 +321,21 @@
             )
             self.send(h11.Data(data=body))
             self.send(h11.EndOfMessage())
-        # Reads on for a while: a close with unread bytes is a reset, which
-        # may take the answer with it.
+        # Keeps reading for a while: closing with unread bytes sends a
+        # reset, which may discard the response.
         self.server.loop.call_later(LINGER_MS, self._close)
 
-    def _expect_head(self) -> None:
+    def _await_head(self) -> None:
         if self.parser.trailing_data[0]:
-            self._expect_rest_of_head()
+            self._await_rest_of_head()
             return
         self._stop_timer()
-        self.awaits_first_byte = True
-        self._start_timer(self.limits.idle_timeout_ms * IDLE_MARGIN)
+        self.awaiting_first_byte = True
+        self._start_timer(self.limits.idle_timeout_ms * IDLE_TIMEOUT_FACTOR)
 
-    def _expect_rest_of_head(self) -> None:
+    def _await_rest_of_head(self) -> None:
         self._stop_timer()
-        self.awaits_first_byte = False
+        self.awaiting_first_byte = False
         self._start_timer(self.limits.header_timeout_ms)
 
     def _start_timer(self, delay_ms: float) -> None:
@@ -345,7 +348,7 @@
 
     def _timed_out(self) -> None:
         self.timer = None
-        if self.exchange is not None or self.link.closed:
+        if self.exchange is not None or self.transport.closed:
             return
         if self.parser.trailing_data[0] or self.head is not None:
             self._reject(408, 'the request took too long to come')
--- a/eelgrassknot/forwarding/peer_discovery.py
+++ b/eelgrassknot/forwarding/peer_discovery.py
@@ -1,7 +1,7 @@
-"""Finds the other entry VMs by rows of the store and links to them.
+"""Discovery of the other entry VMs through rows of the store.
 
-Each VM writes one row at its start. A key that all of them share lies in
-another row, written by whichever VM came first, and signs the messages.
+Each VM writes one row when it starts. Another row, written by the first
+VM, holds a key that all VMs share and that signs their messages.
 """
 
 import collections.abc
@@ -22,7 +22,7 @@
 from eelgrassknot import logs
 from eelgrassknot.requests import backoff
 
-__all__ = ['PeerBoard']
+__all__ = ['PeerDiscovery']
 
 VMS_TABLE = 'eelgrassknot-vms'
 KEYS_TABLE = 'eelgrassknot-keys'
@@ -30,33 +30,34 @@
 KEY_BYTES = 32
 RETRY_BASE_MS = 200.0
 RETRY_MAX_MS = 2_000.0
-REREAD_MS = 30_000.0
-"""How often the rows of the VMs are read while nothing calls for it; ms."""
-REREAD_SOON_MS = 1_000.0
-"""Least time between two reads; ms."""
-SETTLE_MS = 500.0
-"""Time between this VM's row and its first look at the others'; ms. VMs
-that start together find each other by one read."""
-PLAN_MS = 1_000.0
-"""How often the links are looked at; ms. A gateway that has ended is
-replaced within this time and that of its silence."""
-
-
-class PeerBoard:
+READ_INTERVAL_MS = 30_000.0
+"""Interval at which the rows of the VMs are read without a request; ms."""
+MIN_READ_INTERVAL_MS = 1_000.0
+"""Minimum time between two reads; ms."""
+FIRST_READ_DELAY_MS = 500.0
+"""Delay between writing this VM's row and first reading the others'; ms.
+VMs that start together find each other with a single read."""
+PLAN_INTERVAL_MS = 1_000.0
+"""Interval at which the links are planned; ms. A stopped gateway is
+replaced within this time plus the time until it counts as silent."""
+
+
+class PeerDiscovery:
     """The peers of this VM and the link to them.
 
     Args:
         vm: This VM.
-        availability_zone: Its zone.
-        address: ``IP:port`` on which it listens to peers.
-        store: Client of the store, for the board's thread alone.
+        availability_zone: Zone of this VM.
+        address: ``IP:port`` on which this VM listens to peers.
+        store: Store client, used only by the discovery thread.
         clock: This VM's clock.
-        generator: Source of random delays.
-        prepare: Registers handlers on the link before it starts.
+        generator: Random number generator for the back-off.
+        register_handlers: Registers message handlers on the link before it
+            starts.
 
     Attributes:
-        link: The link, or None until the rows were read.
-        roster: Which VMs are listed, and whom to link to.
+        link: The link, or None until this VM is registered.
+        membership: Listed VMs and the planned links.
     """
 
     def __init__(
@@ -67,19 +68,21 @@
         store: row_store.RowStore,
         clock: clocks.Clock,
         generator: random.Random,
-        prepare: collections.abc.Callable[[peer_link.PeerLink], None],
+        register_handlers: collections.abc.Callable[
+            [peer_link.PeerLink], None
+        ],
     ) -> None:
         self.vm = vm
-        self.roster = peer_membership.PeerRoster(vm, availability_zone)
+        self.membership = peer_membership.PeerMembership(vm, availability_zone)
         self.row = peer_membership.VmRow(address, availability_zone)
         self.store = store
         self.clock = clock
-        self.prepare = prepare
+        self.register_handlers = register_handlers
         self.link: peer_link.PeerLink | None = None
         self.read_due_ms = 0.0
-        self.wanted = threading.Event()
+        self.read_requested = threading.Event()
         self.stopped = threading.Event()
-        self.jitter = backoff.DecorrelatedJitter(
+        self.backoff = backoff.DecorrelatedJitter(
             generator, RETRY_BASE_MS, RETRY_MAX_MS
         )
         self.thread = threading.Thread(
@@ -87,24 +90,26 @@
         )
 
     def start(self) -> None:
-        """Begin to look for peers."""
+        """Start the discovery thread."""
         self.thread.start()
 
     def stop(self) -> None:
-        """Look for no more peers."""
+        """Stop the discovery thread."""
         self.stopped.set()
-        self.wanted.set()
+        self.read_requested.set()
 
-    def heard(self, vm: ids.VmId) -> None:
-        """Take in that a peer was heard of; an unknown one is looked up."""
-        self.roster.heard(vm, self.clock.now_ms())
-        if self.link is not None and vm not in self.roster.listed:
-            self.wanted.set()
+    def record_contact(self, vm: ids.VmId) -> None:
+        """Record a message from a peer; an unknown peer triggers a read."""
+        self.membership.record_contact(vm, self.clock.now_ms())
+        if self.link is not None and vm not in self.membership.listed:
+            self.read_requested.set()
 
     def broadcast(self, message: messages.Message) -> None:
-        """Send a message to the peers of the zone, or to all if few."""
+        """Send a message to the zone, or to all peers in a full mesh."""
         if self.link is not None:
-            self.link.broadcast(list(self.roster.links.zone_peers), message)
+            self.link.broadcast(
+                list(self.membership.links.zone_peers), message
+            )
 
     def send_far(
         self,
@@ -116,29 +121,31 @@
             self.link.broadcast(vms, message)
 
     def live(self) -> list[ids.VmId]:
-        """Return the peers that were heard of just now."""
-        return self.roster.live(self.clock.now_ms())
+        """Return the peers with a recent message."""
+        return self.membership.live(self.clock.now_ms())
 
     def zone_members(self) -> list[ids.VmId]:
         """Return this VM and the live peers of its zone."""
-        return self.roster.zone_members(self.clock.now_ms())
+        return self.membership.zone_members(self.clock.now_ms())
 
     def _run(self) -> None:
         while not self.stopped.is_set():
             if self.clock.now_ms() >= self.read_due_ms:
-                delay_ms = self._guarded_step()
+                delay_ms = self._run_step()
                 self.read_due_ms = self.clock.now_ms() + delay_ms
             elif self.link is not None:
-                self._follow_plan()
+                self._apply_link_plan()
             due_ms = max(0.0, self.read_due_ms - self.clock.now_ms())
-            self.wanted.wait(min(PLAN_MS, due_ms) / clocks.MS_PER_SECOND)
-            if self.wanted.is_set():
-                self.wanted.clear()
-                self.stopped.wait(REREAD_SOON_MS / clocks.MS_PER_SECOND)
+            self.read_requested.wait(
+                min(PLAN_INTERVAL_MS, due_ms) / clocks.MS_PER_SECOND
+            )
+            if self.read_requested.is_set():
+                self.read_requested.clear()
+                self.stopped.wait(MIN_READ_INTERVAL_MS / clocks.MS_PER_SECOND)
                 self.read_due_ms = 0.0
 
-    def _guarded_step(self) -> float:
-        """Do what is due; return the time until the next step in ms."""
+    def _run_step(self) -> float:
+        """Run one step; return the delay until the next one in ms."""
         try:
             found = self._step()
         except Exception as error:
@@ -149,15 +156,17 @@
                 return delay_ms
             case result.Err(error):
                 logs.warning('peers_unread', why=str(error))
-                return self.jitter.next_ms()
+                return self.backoff.next_ms()
 
     def _step(self) -> result.Result[float, row_store.StoreError]:
         if self.link is None:
-            return self._register().map(lambda _: SETTLE_MS)
+            return self._register().map(lambda _: FIRST_READ_DELAY_MS)
         page = self.store.read_table(VMS_TABLE)
         if isinstance(page, result.Err):
             return page
-        return self._take_rows(page.ok_value).map(lambda _: REREAD_MS)
+        return self._process_rows(page.ok_value).map(
+            lambda _: READ_INTERVAL_MS
+        )
 
     def _register(self) -> result.Result[None, row_store.StoreError]:
         key = self._shared_key()
@@ -166,7 +175,8 @@
         written = self._write_own_row()
         if isinstance(written, result.Err):
             return written
-        # The store's clock orders the runs of a VM whose own clock steps.
+        # The store's clock orders the incarnations of a VM, because the
+        # VM's own clock may be stepped.
         codec = peer_codec.PeerCodec(
             self.vm,
             ids.IncarnationId(ids.random_id()),
@@ -176,7 +186,7 @@
         link = peer_link.PeerLink(
             self.row.address, codec, self.clock, batch_delay_ms=0.0
         )
-        self.prepare(link)
+        self.register_handlers(link)
         link.start()
         self.link = link
         return result.Ok(None)
@@ -184,7 +194,7 @@
     def _shared_key(
         self,
     ) -> result.Result[tuple[bytes, float], row_store.StoreError]:
-        """Return the key that all VMs share, and the store's time."""
+        """Return the key shared by all VMs, and the store's time."""
         place = row_store.RowKey(KEYS_TABLE, KEY_NAME)
         found = self.store.read_table(KEYS_TABLE)
         if isinstance(found, result.Err):
@@ -206,10 +216,10 @@
             row_store.RowKey(VMS_TABLE, self.vm), msgspec.json.encode(self.row)
         )
 
-    def _take_rows(
+    def _process_rows(
         self, page: row_store.RowPage
     ) -> result.Result[None, row_store.StoreError]:
-        """Follow the rows; put back one's own, drop those of the dead."""
+        """Update the membership; restore the own row, delete expired ones."""
         listed = {}
         for row in page.rows:
             try:
@@ -218,22 +228,22 @@
                 )
             except msgspec.MsgspecError as error:
                 logs.warning('peer_unreadable', vm=row.key, why=str(error))
-        self.roster.take_rows(listed, self.clock.now_ms())
-        self._follow_plan()
+        self.membership.update_rows(listed, self.clock.now_ms())
+        self._apply_link_plan()
         if listed.get(self.vm) != self.row:
             written = self._write_own_row()
             if isinstance(written, result.Err):
                 return written
-        for vm in self.roster.forgotten(self.clock.now_ms()):
+        for vm in self.membership.expired(self.clock.now_ms()):
             logs.event('peer_forgotten', vm=vm)
             dropped = self.store.delete_row(row_store.RowKey(VMS_TABLE, vm))
             if isinstance(dropped, result.Err):
                 return dropped
         return result.Ok(None)
 
-    def _follow_plan(self) -> None:
-        """Connect to whom the roster names, and to nobody else."""
-        wanted = self.roster.plan(self.clock.now_ms()).addresses
+    def _apply_link_plan(self) -> None:
+        """Open and close connections according to the link plan."""
+        wanted = self.membership.plan_links(self.clock.now_ms()).addresses
         for vm in set(self.link.addresses) - set(wanted):
             logs.event('peer_unlinked', vm=vm)
             self.link.disconnect(vm)
--- a/eelgrassknot/forwarding/zone_digests.py
+++ b/eelgrassknot/forwarding/zone_digests.py
@@ -1,7 +1,7 @@
-"""Tells other zones what the VMs of this one have placed where.
+"""Exchange of load digests between zones.
 
-Only gateways send: to the gateways of other zones the sums of their own,
-and to the peers of their own zone what other gateways have told.
+Only gateways send: the totals of their own zone to the gateways of other
+zones, and the digests of other zones to the peers of their own.
 """
 
 import collections.abc
@@ -16,92 +16,95 @@
 
 __all__ = ['ZoneDigests']
 
-TELL_MS = 200.0
-"""How often zones of the same region are told; ms. A prompt takes about as
-long to be read."""
+PUBLISH_INTERVAL_MS = 200.0
+"""Interval at which digests are sent to zones of the same region; ms. About
+the duration of a prefill."""
 FAR_REGION_ROUNDS = 4
-"""Zones of other regions are told every so many rounds: their link is
-narrow, and few requests go there."""
-DIRECT_MS = 3_000.0
-"""A zone whose VMs told of themselves within this time is not counted by
-its total as well; ms."""
+"""Number of rounds between two digests to zones of other regions: the link
+between regions is narrow, and few requests use it."""
+DIRECT_CONTACT_MS = 3_000.0
+"""Time for which a zone's digests are ignored after a direct message from
+one of its VMs, so that its load is not counted twice; ms."""
 
 
 class ZoneDigests:
-    """Digests of zones, told by this VM if it is a gateway, and taken in.
+    """Receives the digests of other zones, and sends them on a gateway.
 
     Args:
-        knowledge: Tables and peers.
-        tally: What this VM and its peers have at each upstream.
+        replicated_state: Tables and peers.
+        peer_load: Load of this VM and its peers at each upstream.
         loop: The event loop.
 
     Attributes:
-        direct_ms: When a VM of a zone last told of itself.
-        to_relay: Digests that this VM's zone has not been told yet.
+        direct_contact_ms: Time of the last direct message from a VM of
+            each zone.
+        to_relay: Digests not yet relayed to this VM's zone.
     """
 
     def __init__(
         self,
-        knowledge: replicated_state.Knowledge,
-        tally: peer_load.PeerTally,
+        replicated_state: replicated_state.ReplicatedState,
+        peer_load: peer_load.PeerLoad,
         loop: loops.EventLoop,
     ) -> None:
-        self.knowledge = knowledge
-        self.tally = tally
+        self.replicated_state = replicated_state
+        self.peer_load = peer_load
         self.loop = loop
         self.zone = ids.AvailabilityZoneId(
-            knowledge.settings.availability_zone
+            replicated_state.settings.availability_zone
         )
         self.round = 0
-        self.direct_ms: dict[ids.AvailabilityZoneId, float] = {}
+        self.direct_contact_ms: dict[ids.AvailabilityZoneId, float] = {}
         self.to_relay: dict[ids.AvailabilityZoneId, messages.ZoneNews] = {}
 
     def start(self) -> None:
-        """Begin to tell."""
-        self.loop.call_later(TELL_MS, self._tell)
+        """Start publishing."""
+        self.loop.call_later(PUBLISH_INTERVAL_MS, self._publish)
 
-    def heard_directly(self, zone: ids.AvailabilityZoneId) -> None:
-        """Take in that a VM of a zone has told of itself."""
-        self.direct_ms[zone] = self.loop.now_ms()
+    def record_direct_contact(self, zone: ids.AvailabilityZoneId) -> None:
+        """Record a direct message from a VM of a zone."""
+        self.direct_contact_ms[zone] = self.loop.now_ms()
 
-    def take(self, vm: ids.VmId, news: messages.ZoneNews) -> None:
-        """Take in a digest, from a far gateway or from one of this zone."""
-        zone = news.availability_zone
+    def receive(self, vm: ids.VmId, message: messages.ZoneNews) -> None:
+        """Process a digest from a gateway of another zone or of this one."""
+        zone = message.availability_zone
         now_ms = self.loop.now_ms()
-        heard_ms = self.direct_ms.get(zone, float('-inf'))
-        if zone == self.zone or now_ms - heard_ms <= DIRECT_MS:
+        contact_ms = self.direct_contact_ms.get(zone, float('-inf'))
+        if zone == self.zone or now_ms - contact_ms <= DIRECT_CONTACT_MS:
             return
-        self.tally.take(('zone', zone), news)
-        if vm in self.knowledge.board.roster.links.remote_gateways:
-            self.to_relay[zone] = msgspec.structs.replace(news, marks=())
+        self.peer_load.update(('zone', zone), message)
+        if vm in self.replicated_state.peers.membership.links.remote_gateways:
+            self.to_relay[zone] = msgspec.structs.replace(message, marks=())
 
-    def _tell(self) -> None:
-        self.loop.call_later(TELL_MS, self._tell)
+    def _publish(self) -> None:
+        self.loop.call_later(PUBLISH_INTERVAL_MS, self._publish)
         self.round += 1
-        board = self.knowledge.board
+        peers = self.replicated_state.peers
         relayed, self.to_relay = self.to_relay, {}
-        for news in relayed.values():
-            board.broadcast(news)
-        far = self._due(board.roster.links.remote_gateways)
+        for message in relayed.values():
+            peers.broadcast(message)
+        far = self._due_gateways(peers.membership.links.remote_gateways)
         if far:
-            board.send_far(far, self._digest())
+            peers.send_far(far, self._digest())
 
-    def _due(
+    def _due_gateways(
         self, gateways: collections.abc.Iterable[ids.VmId]
     ) -> list[ids.VmId]:
-        """Return the far gateways that are to be told in this round."""
+        """Return the gateways that receive a digest in this round."""
         if self.round % FAR_REGION_ROUNDS == 0:
             return list(gateways)
-        regions = self.knowledge.settings.regions
-        zone_of = self.knowledge.board.roster.zone_of
+        regions = self.replicated_state.settings.regions
+        zone_of = self.replicated_state.peers.membership.zone_of
         region = regions.get(self.zone)
         return [vm for vm in gateways if regions.get(zone_of(vm)) == region]
 
     def _digest(self) -> messages.ZoneNews:
-        members = [('vm', vm) for vm in self.knowledge.board.zone_members()]
+        members = [
+            ('vm', vm) for vm in self.replicated_state.peers.zone_members()
+        ]
         return messages.ZoneNews(
             self.zone,
-            self.knowledge.marks(),
-            peer_load.engine_entries(self.tally.engines(members)),
-            tuple(self.tally.running_calls(members).items()),
+            self.replicated_state.watermarks(),
+            peer_load.engine_entries(self.peer_load.engine_sums(members)),
+            tuple(self.peer_load.running_calls(members).items()),
         )
--- a/eelgrassknot/frontend/relay.py
+++ b/eelgrassknot/frontend/relay.py
@@ -158,7 +158,7 @@
             case messages.AskStatus(probe, upstream, generation):
                 self.probe_number = probe
                 self.probe = self.part.query_executor.submit(
-                    engine_client.status, upstream.address, generation
+                    engine_client.fetch_status, upstream.address, generation
                 )
             case messages.CancelGeneration():
                 self._cancel(action)
@@ -210,7 +210,7 @@
 
     def _close(self) -> None:
         if self.stream is not None:
-            self.bytes_in += self.stream.bytes_in
+            self.bytes_in += self.stream.received_bytes
             self.stream.close()
             self.stream = None
 
@@ -302,7 +302,7 @@
     def _can_multiplex(self) -> bool:
         if self.encode is None or self.probe is not None:
             return False
-        return self.stream.flows()
+        return self.stream.is_streaming()
 
     def _process_ready_events(self) -> list[messages.Action]:
         # The stream may not have been read because of a slow caller.
--- a/eelgrassknot/frontend/relay_part.py
+++ b/eelgrassknot/frontend/relay_part.py
@@ -200,7 +200,7 @@
         ][:MAX_ENGINES_QUERIED]
         asked = {
             self.query_executor.submit(
-                engine_client.status, engine.address, generation
+                engine_client.fetch_status, engine.address, generation
             ): engine
             for engine in engines
         }
