--- a/benchmarks/policy/__init__.py
+++ b/benchmarks/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmark of the policy: decision objects before engine models."""
+"""Benchmark of the policy by simulation with engine models."""
--- a/benchmarks/policy/__main__.py
+++ b/benchmarks/policy/__main__.py
@@ -1,7 +1,7 @@
 """Runs the policy benchmark: ``python -m benchmarks.policy``.
 
-Prints the tables and the checks of the stated targets, and exits 1 when
-a target is missed. ``--plots DIRECTORY`` draws the figures as SVG.
+Prints the result tables and the checks of the targets, and exits with 1
+if a target is missed. ``--plots DIRECTORY`` writes plots as SVG files.
 """
 
 import collections
@@ -26,7 +26,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run all and return the exit code.
+    """Run the benchmark and return the exit code.
 
     Args:
         arguments: ``--plots DIRECTORY`` or nothing.
@@ -52,7 +52,7 @@
 
 
 def run_one(scenario: simulation.Scenario) -> measures.Figures:
-    """Run a scenario in this process."""
+    """Run a scenario and return its figures."""
     return simulation.Simulation(scenario).run()
 
 
--- a/benchmarks/policy/baselines.py
+++ b/benchmarks/policy/baselines.py
@@ -1,8 +1,8 @@
-"""Rules to beat, and the oracle, each in a few lines.
+"""Baseline load-balancing rules, and an oracle, to compare the policy with.
 
-A rule sees the same lagged reports as the policy and decides for one
-entry VM. The oracle is one object for all VMs; it knows true lengths and
-the true state of the engines.
+A rule gets the same delayed load reports as the policy and decides for one
+entry VM. The oracle decides for all VMs and knows the true output lengths
+and the true state of the engines.
 
 References:
     Wydrowski et al., "Load is not what you should balance: Introducing
@@ -24,7 +24,7 @@
 
 
 class Baseline:
-    """A rule without a queue: each request is sent at once."""
+    """Base of the rules, which dispatch each request immediately."""
 
     def __init__(self, zone: str, region: str, generator: random.Random):
         self.region = region
@@ -39,7 +39,7 @@
         self.latency_ms: dict = {}
 
     def handle(self, event, now_ms: float) -> list:
-        """Take in one event and return what is to be done."""
+        """Handle one event and return the resulting actions."""
         match event:
             case messages.RequestArrived(profile):
                 self.profiles[profile.request] = profile
@@ -61,11 +61,11 @@
         return []
 
     def choose(self, names: list[str]) -> str:
-        """Return the chosen one of the upstreams."""
+        """Return the upstream to use."""
         raise NotImplementedError
 
     def reported_requests(self, name: str) -> int:
-        """Return an upstream's reported requests."""
+        """Return the number of requests that an upstream reported."""
         load = self.loads.get(name)
         return 0 if load is None else load.running + load.waiting
 
@@ -105,39 +105,43 @@
 
 
 class RoundRobin(Baseline):
-    """Each in turn."""
+    """Upstreams in cyclic order."""
 
     turn = 0
 
     def choose(self, names):
-        """Return the next in turn."""
+        """Return the next upstream."""
         self.turn += 1
         return names[self.turn % len(names)]
 
 
 class LeastConnections(Baseline):
-    """The one with the fewest requests of this VM."""
+    """The upstream with the fewest requests of this VM."""
 
     def choose(self, names):
-        """Return the one with the fewest own requests."""
+        """Return the upstream with the fewest requests of this VM."""
         self.generator.shuffle(names)
         return min(names, key=lambda name: self.own_requests[name])
 
 
 class ShortestReported(Baseline):
-    """The one that reported the fewest requests."""
+    """The upstream that reported the fewest requests."""
 
     def choose(self, names):
-        """Return the one with the fewest reported requests."""
+        """Return the upstream with the fewest reported requests."""
         self.generator.shuffle(names)
         return min(names, key=self.reported_requests)
 
 
 class HotCold(Baseline):
-    """Of few probed: the fastest that is not hot, else the least full."""
+    """Hot-cold rule of Prequal.
+
+    Of a few sampled upstreams, the one with the lowest latency among those
+    that are not hot; if all are hot, the one with the fewest requests.
+    """
 
     def choose(self, names):
-        """Return the cold one of lowest latency."""
+        """Return the cold upstream with the lowest latency."""
         probed = self.generator.sample(names, min(PROBES, len(names)))
         known = sorted(self.reported_requests(name) for name in self.upstreams)
         hot = known[int(HOT_LOAD_QUANTILE * (len(known) - 1))]
@@ -148,10 +152,10 @@
 
 
 class TwoChoices(Baseline):
-    """The first version of this project's dispatcher."""
+    """Power of two choices, as in the first version of the dispatcher."""
 
     def choose(self, names):
-        """Return the less loaded of two by this VM's own requests."""
+        """Return the one of two with fewer requests of this VM."""
         sampled = self.generator.sample(names, min(2, len(names)))
         return min(sampled, key=lambda name: self.own_requests[name])
 
@@ -166,7 +170,7 @@
 
 
 class Oracle:
-    """Knows all; lets a request in where no preemption can follow."""
+    """Places requests with full knowledge, so that none is preempted."""
 
     def __init__(self, engines: dict[str, engine_model.Engine]) -> None:
         self.engines = engines
@@ -179,7 +183,7 @@
         self.submitted: dict[str, dict] = collections.defaultdict(dict)
 
     def handle(self, event, now_ms: float) -> list:
-        """Take in one event and return what is to be done."""
+        """Handle one event and return the resulting actions."""
         match event:
             case messages.RequestArrived(profile):
                 self.queues[profile.priority].append(profile)
@@ -211,8 +215,9 @@
                     return actions
                 queue.popleft()
                 info = self.upstreams[chosen]
-                # The shell submits before it asks again, so the engine
-                # model holds the request by the next choice.
+                # The simulation submits the request before it calls this
+                # method again, so the engine model includes it by the next
+                # choice.
                 actions.append(messages.Dispatch(profile.request, info, False))
                 return actions
         return actions
--- a/benchmarks/policy/decision_cost.py
+++ b/benchmarks/policy/decision_cost.py
@@ -1,4 +1,4 @@
-"""What a decision costs in processor time."""
+"""Processor time of the dispatcher's decisions."""
 
 import dataclasses
 import random
@@ -23,12 +23,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Cost:
-    """Time of a decision.
+    """Processor time per event.
 
     Attributes:
-        engines: Candidate engines.
-        decision_us: Time from a request's arrival to its dispatch.
-        end_us: Time for the end of a request.
+        engines: Number of candidate engines.
+        decision_us: Time to handle an arrival, including its dispatch.
+        end_us: Time to handle the end of a request.
     """
 
     engines: int
@@ -37,12 +37,12 @@
 
 
 def measure() -> list[Cost]:
-    """Return the lowest of several rounds for each number of engines."""
+    """Return the minimum over several rounds for each number of engines."""
     return [_measure_one(engines) for engines in BOUNDS_US]
 
 
 def checks(costs: list[Cost]) -> list[targets.Check]:
-    """Return the checks of the stated bounds."""
+    """Return the checks of the time limits."""
     return [
         targets.Check(
             f'decision at {cost.engines} engines, us',
@@ -81,8 +81,8 @@
 
 
 def _time(target, events: list, now_ms: float) -> tuple[float, list]:
-    # The processor clock is read once for all events, since reading it
-    # costs as much as a part of a decision.
+    # Read the processor clock once for all events, because a read takes a
+    # considerable part of the time of a decision.
     handle = target.handle
     actions = []
     started = time.process_time()
--- a/benchmarks/policy/engine_model.py
+++ b/benchmarks/policy/engine_model.py
@@ -1,9 +1,9 @@
-"""Model of one engine that batches continuously, step by step.
+"""Step-by-step model of an engine with continuous batching.
 
-Each step gives every decoding request one token and spends what is left
-of the step's token budget on prefill. Memory is counted in tokens. When
-it is full, the request of the lowest priority that was admitted last is
-preempted, and its whole context is computed again later.
+Each step produces one token for every decoding request and uses the rest
+of the step's token budget for prefill. Memory is measured in tokens. When
+it is full, the most recently admitted request of the lowest priority is
+preempted, and its whole context is recomputed later.
 """
 
 import collections
@@ -21,16 +21,17 @@
     """Size and speed of an engine.
 
     Attributes:
-        kv_tokens: Tokens that its memory holds.
-        base_step_ms: Time of a step besides what follows.
-        request_step_ms: Time a step takes more for each request.
-        context_step_ms: Time a step takes more for each token held.
-        prefill_token_ms: Time a step takes more for a prefilled token.
-        step_token_budget: Tokens that a step may process at most.
+        kv_tokens: Memory capacity in tokens.
+        base_step_ms: Fixed time of a step.
+        request_step_ms: Additional time of a step per decoding request.
+        context_step_ms: Additional time of a step per token in memory.
+        prefill_token_ms: Additional time of a step per prefilled token.
+        step_token_budget: Maximum number of tokens processed in a step.
         watermark_tokens: Memory kept free when a request is admitted.
-        max_running: Requests that may run at a time.
-        max_waiting: Requests that may wait before it says "full".
-        prefix_tokens: Size of the prefix cache.
+        max_running: Maximum number of running requests.
+        max_waiting: Maximum number of waiting requests; further requests
+            are rejected.
+        prefix_tokens: Size of the prefix cache in tokens.
     """
 
     kv_tokens: int = 64_000
@@ -47,15 +48,20 @@
 
 @dataclasses.dataclass(slots=True)
 class Sequence:
-    """A generation as the engine holds it.
+    """State of a generation at an engine.
 
     Attributes:
         urgent: Whether it is interactive.
-        output_tokens: How long its output will be.
-        base: Tokens that it had produced when it joined the batch.
-        joined_step: Number of the step after which it joined.
-        left_ms: When it got its last token before a preemption.
-        stall_ms: Sum of what its gaps exceed the stall threshold by.
+        output_tokens: Final length of its output.
+        base_tokens: Tokens produced when it joined the decoding batch.
+        prefill_remaining: Tokens that still need prefill.
+        prefill_tokens: Memory reserved for its context at admission.
+        joined_step: Number of the step after which it joined the batch.
+        preempted_ms: Time of its last token before a preemption, or None.
+        stall_total_at_join: The engine's ``stall_total_ms`` when it joined
+            the batch.
+        stall_ms: Total time by which its token gaps exceed the stall
+            threshold.
     """
 
     request: str
@@ -77,10 +83,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Progress:
-    """A first token or an end.
+    """The first token or the end of a generation.
 
     Attributes:
-        ended: Whether it is the end.
+        ended: Whether the generation has ended.
     """
 
     request: str
@@ -90,12 +96,12 @@
 
 
 class Engine:
-    """An engine that is advanced to given times.
+    """An engine that is simulated up to given times.
 
     Attributes:
         slowdown: Factor on the time of each step.
-        gaps: Tokens by the gap before them, in whole milliseconds.
-        preemptions: Preemptions so far.
+        gaps: Number of tokens by preceding gap in whole milliseconds.
+        preemptions: Number of preemptions.
     """
 
     def __init__(self, name: str, spec: EngineSpec) -> None:
@@ -126,7 +132,7 @@
         self.progress: list[Progress] = []
 
     def submit(self, sequence: Sequence, now_ms: float) -> bool:
-        """Take a request in; False means full, and it was not run.
+        """Queue a request; return False if it was rejected without running.
 
         Args:
             sequence: The request.
@@ -143,7 +149,7 @@
         return True
 
     def advance(self, now_ms: float) -> list[Progress]:
-        """Run all steps that end by a time; return what came of them."""
+        """Run all steps that end by a time; return their progress."""
         while self.step_end_ms is not None and self.step_end_ms <= now_ms:
             self._end_step()
             self._begin_step()
@@ -154,7 +160,7 @@
         return found
 
     def fail(self) -> list[Sequence]:
-        """End the engine; return the requests that it held."""
+        """Simulate a failure; return the requests that are lost."""
         held = list(self.sequences.values())
         for sequence in held:
             sequence.base_tokens = self.produced(sequence)
@@ -170,17 +176,17 @@
         return held
 
     def produced(self, sequence: Sequence) -> int:
-        """Return how many tokens a request has produced."""
+        """Return the number of tokens that a request has produced."""
         if not sequence.decoding:
             return sequence.base_tokens
         return sequence.base_tokens + self.steps - sequence.joined_step
 
     def context(self, sequence: Sequence) -> int:
-        """Return how many tokens a request holds or needs."""
+        """Return the size of a request's context in tokens."""
         return sequence.prompt_tokens + self.produced(sequence)
 
     def stall(self, sequence: Sequence) -> float:
-        """Return a request's stall time so far in milliseconds."""
+        """Return the stall time of a request in milliseconds."""
         if not sequence.decoding:
             return sequence.stall_ms
         return (
@@ -190,7 +196,7 @@
         )
 
     def cached_tokens(self, prefixes: tuple[str, ...]) -> int:
-        """Return how many tokens of a prompt the prefix cache holds."""
+        """Return the number of prompt tokens in the prefix cache."""
         count = 0
         for prefix in prefixes:
             if prefix not in self.cache:
@@ -199,7 +205,7 @@
         return count
 
     def waiting_count(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return len(self.waiting[0]) + len(self.waiting[1])
 
     def _begin_step(self) -> None:
--- a/benchmarks/policy/measures.py
+++ b/benchmarks/policy/measures.py
@@ -1,10 +1,10 @@
-"""What a run is measured by.
+"""Performance figures of a simulation run.
 
-Stall time of a request is the sum of what its token gaps exceed 250 ms
-by, once its first token has come: longer than any one step of an engine,
-so that the stream has stopped and is not just slow. Waiting for the first
-token is shown beside it. Goodput counts tokens of requests whose first
-token came within their deadline.
+The stall time of a request is the total time by which its token gaps
+exceed 250 ms. This threshold is longer than any single step of an engine,
+so such a stream has stopped and is not just slow. The time to the first
+token is not included and is reported separately. Goodput counts the tokens
+of requests whose first token was produced within the deadline.
 """
 
 import collections
@@ -23,20 +23,20 @@
 
     Attributes:
         stall_mean_ms: Mean stall time of a request.
-        preemptions_per_1000: Preemptions for each 1,000 requests served.
+        preemptions_per_1000: Preemptions per 1,000 requests served.
         gap_ms: Token gaps at p50, p95, p99 and p99.9.
         first_token_ms: Time to the first token at p50, p95 and p99.
-        goodput_per_s: Tokens a second of requests within deadline.
+        goodput_per_s: Tokens per second of requests within the deadline.
         refused_share: Share of requests that were refused.
-        refused_early_share: Share of the refusals that came within a
-            tenth of the time the caller would have waited.
-        share_ratio: Served over demanded tokens, highest over lowest
-            account.
+        refused_early_share: Share of the refusals issued within a tenth of
+            the time until the deadline.
+        share_ratio: Ratio of the highest to the lowest quotient of served
+            and demanded tokens over the accounts.
         account_tokens: Tokens served by account.
         account_demand: Tokens demanded by account.
-        link_bytes: Bytes of generations over the region link.
-        slow_gaps_ms: Mean sum of a request's gaps beyond 100 ms and
-            beyond 200 ms, to show how the threshold of a stall matters.
+        link_bytes: Bytes of generations sent over the region link.
+        slow_gaps_ms: Mean total time per request by which gaps exceed
+            100 ms and 200 ms, to show the influence of the stall threshold.
     """
 
     served: int
@@ -56,11 +56,11 @@
 
 
 class FigureRecorder:
-    """Gathers what happens in a run.
+    """Records the events of a run and computes its figures.
 
     Args:
-        from_ms: Start of the measured quantile.
-        until_ms: Its end.
+        from_ms: Start of the measured interval.
+        until_ms: End of the measured interval.
     """
 
     def __init__(self, from_ms: float, until_ms: float) -> None:
@@ -82,7 +82,7 @@
         self.tokens_at_start: dict[str, int] = {}
 
     def start_measuring(self, engines) -> None:
-        """Note where the engines stand when measuring begins."""
+        """Record the state of the engines at the start of the interval."""
         for engine in engines:
             gaps = collections.Counter(engine.gaps)
             self.counts_at_start[engine.name] = (gaps, engine.preemptions)
@@ -92,13 +92,13 @@
                 )
 
     def record_arrival(self, request) -> None:
-        """Count a request."""
+        """Record the arrival of a request."""
         if request.at_ms >= self.from_ms:
             self.arrivals += 1
             self.demand[request.account] += request.output_tokens
 
     def record_refusal(self, request, reason, now_ms: float) -> None:
-        """Count a refusal."""
+        """Record the refusal of a request."""
         self.all_refusals += 1
         if request.at_ms < self.from_ms:
             return
@@ -108,18 +108,18 @@
             self.early_refusals += 1
 
     def record_first_token(self, request, at_ms: float) -> None:
-        """Note when a request's first token came."""
+        """Record the time of a request's first token."""
         self.first_token_ms[request.name] = at_ms - request.at_ms
         if at_ms <= request.deadline_ms:
             self.within_deadline.add(request.name)
 
     def record_link_bytes(self, request, size_bytes: float) -> None:
-        """Count bytes over the link between regions."""
+        """Record bytes sent over the link between regions."""
         if request.at_ms >= self.from_ms:
             self.link_bytes += size_bytes
 
     def record_end(self, request, sequence, at_ms: float, whole: bool) -> None:
-        """Count a request that has ended."""
+        """Record the end of a request."""
         self.ends += 1
         if at_ms >= self.from_ms:
             self._record_served(
@@ -183,7 +183,7 @@
 
 
 def mean_figures(runs: list[Figures]) -> Figures:
-    """Return the mean of the figures of runs that differ in their seed."""
+    """Return the mean figures of runs that differ only in their seed."""
     fields = {
         field.name: _mean([getattr(one, field.name) for one in runs])
         for field in dataclasses.fields(Figures)
--- a/benchmarks/policy/plan.py
+++ b/benchmarks/policy/plan.py
@@ -1,4 +1,4 @@
-"""Which runs the benchmark makes."""
+"""The simulation runs of the benchmark."""
 
 import dataclasses
 
@@ -35,7 +35,7 @@
     'longer outputs': simulation.Disturbance(shift_at_ms=MIDDLE_MS),
 }
 
-# Short questions with long answers: memory fills long after admission.
+# Short prompts with long outputs fill the memory long after admission.
 LONG_ANSWERS = simulation.Disturbance(
     shift_at_ms=0.0, shift_factor=8.0, prompt_factor=0.1
 )
@@ -59,9 +59,9 @@
     """One run of the benchmark.
 
     Attributes:
-        part: Table in which it stands.
-        label: Its line there.
-        load: Share of capacity.
+        part: Name of the result table.
+        label: Label of the row in the table.
+        load: Load as a share of the capacity.
     """
 
     part: str
@@ -71,14 +71,14 @@
 
 
 class Plan:
-    """All runs, and the capacity that their rates follow from.
+    """All runs of the benchmark, with rates relative to the capacity.
 
     Args:
-        capacities: Requests a second that each deployment can serve, by
+        capacities: Requests per second that each deployment can serve, by
             (deployment, seed).
 
     Attributes:
-        runs: The runs, the slow ones first.
+        runs: The runs in order of execution, slow ones first.
     """
 
     def __init__(self, capacities: dict[tuple[str, int], float]) -> None:
@@ -194,7 +194,7 @@
 
 
 def capacity_scenario(name: str, seed: int) -> simulation.Scenario:
-    """Return the run that finds out a deployment's capacity."""
+    """Return the scenario that measures the capacity of a deployment."""
     return simulation.Scenario(
         name,
         'oracle',
--- a/benchmarks/policy/plots.py
+++ b/benchmarks/policy/plots.py
@@ -1,4 +1,4 @@
-"""Plots of the benchmark as SVG."""
+"""Plots of the benchmark results as SVG files."""
 
 import pathlib
 
@@ -18,11 +18,11 @@
 
 
 def draw(found: table.FiguresByRun, folder: pathlib.Path) -> None:
-    """Draw stall and gap tails against load for all policies.
+    """Plot stall time and the token gap tail over load for all policies.
 
     Args:
-        found: All figures.
-        folder: Where the files go.
+        found: Figures of all runs.
+        folder: Directory of the output files.
     """
     matplotlib.use('svg')
     matplotlib.rcParams['svg.hashsalt'] = 'eelgrassknot'
--- a/benchmarks/policy/simulation.py
+++ b/benchmarks/policy/simulation.py
@@ -1,7 +1,7 @@
-"""One run: entry VMs' decision objects before engine models.
+"""Simulation of the entry VMs' dispatchers with engine models.
 
-Time moves in quanta under a ManualClock. Reports, digests and cache
-events reach the decision objects late, as they would in service.
+Time advances in fixed steps of a ManualClock. Load reports, digests and
+cache events reach the dispatchers with the same delays as in production.
 """
 
 import collections
@@ -40,18 +40,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Disturbance:
-    """What goes wrong in a run.
+    """Faults and workload changes in a run.
 
     Attributes:
-        lost_at_ms: When the first engine is lost, or None.
-        slow_at_ms: When the first engine falls to a third of its speed.
-        report_lag_ms: How old load reports are when they come.
+        lost_at_ms: Time at which the first engine fails, or None.
+        slow_at_ms: Time at which the first engine drops to a third of its
+            speed, or None.
+        report_lag_ms: Age of load reports on arrival.
         cache_events_lost: Share of cache events that are lost.
-        shift_at_ms: When output lengths grow, or None.
-        shift_factor: By what factor.
+        shift_at_ms: Time from which outputs are longer, or None.
+        shift_factor: Factor on the median output length from then on.
         prompt_factor: Factor on the size of all prompts.
-        flood_account: Account that floods, or None.
-        flood_factor: How many times its usual rate it then sends.
+        flood_account: Account with an increased rate, or None.
+        flood_factor: Factor on the rate of that account.
     """
 
     lost_at_ms: float | None = None
@@ -67,15 +68,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Scenario:
-    """Everything that a run follows from.
+    """Complete parameters of a run.
 
     Attributes:
         policy: Name of a baseline, 'oracle' or 'eelgrassknot'.
-        rate_per_s: Mean requests a second over all VMs.
-        span_ms: Length of the run.
-        from_ms: Requests that arrive before are not measured.
-        objective: Weights in the text; the deployment's own if None.
-        saturate: Whether deadlines are ignored, to measure capacity.
+        rate_per_s: Mean requests per second over all VMs.
+        span_ms: Duration of the run.
+        measure_from_ms: Start of the measured interval.
+        objective: Objective in the services text; the deployment's own if
+            None.
+        saturate: Whether to ignore deadlines, to measure the capacity.
     """
 
     deployment: str
@@ -94,7 +96,7 @@
     """State of one run.
 
     Args:
-        scenario: What to run.
+        scenario: Parameters of the run.
     """
 
     def __init__(self, scenario: Scenario) -> None:
@@ -123,7 +125,7 @@
         self._make_dispatchers()
 
     def run(self) -> measures.Figures:
-        """Run to the end and return what was measured."""
+        """Run to the end and return the figures."""
         scenario = self.scenario
         shape = workload.WorkloadVariation(
             shift_at_ms=scenario.disturbance.shift_at_ms,
@@ -225,7 +227,7 @@
         )
 
     def account_weight(self, index: int) -> float:
-        """Return the weight of an account in the text."""
+        """Return the weight of an account in the services text."""
         return workload.ACCOUNT_SHARES[index] * 20
 
     def _schedule_periodic(self) -> None:
--- a/benchmarks/policy/table.py
+++ b/benchmarks/policy/table.py
@@ -1,4 +1,4 @@
-"""Tables of the benchmark as text."""
+"""Text tables of the benchmark results."""
 
 from benchmarks.policy import measures
 from benchmarks.policy import targets
@@ -32,7 +32,7 @@
 
 
 def render_checks(checks: list[targets.Check]) -> str:
-    """Return the checks, one a line."""
+    """Return the checks as text, one per line."""
     lines = ['', '## Targets']
     for check in checks:
         verdict = 'met   ' if check.met else 'MISSED'
--- a/benchmarks/policy/targets.py
+++ b/benchmarks/policy/targets.py
@@ -1,4 +1,4 @@
-"""Targets of the policy, as they were stated before it was built."""
+"""Performance targets of the policy, fixed before its implementation."""
 
 from collections.abc import Callable
 import dataclasses
@@ -24,13 +24,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Check:
-    """One target and what was measured.
+    """One target with its measured value.
 
     Attributes:
-        name: What is bounded.
-        measured: The figure.
-        bound: Its bound.
-        at_least: Whether the figure must not be lower; else not higher.
+        name: Name of the measured quantity.
+        measured: Measured value.
+        bound: Limit of the value.
+        at_least: Whether the limit is a lower bound; otherwise it is an
+            upper bound.
     """
 
     name: str
@@ -177,8 +178,8 @@
 
 
 def _served_share(figures: measures.Figures) -> float:
-    # Generations that still run at the end lack part of their tokens, in
-    # a flood as without; so one is set against the other.
+    # Generations still running at the end lack part of their tokens, with
+    # or without a flood. Comparing the two cases cancels this effect.
     names = [n for n in figures.account_demand if n in SMALL_ACCOUNTS]
     served = sum(figures.account_tokens.get(name, 0) for name in names)
     return served / sum(figures.account_demand[name] for name in names)
--- a/benchmarks/policy/workload.py
+++ b/benchmarks/policy/workload.py
@@ -1,4 +1,4 @@
-"""Workloads of the two deployments, from a seed."""
+"""Seeded workloads of the two deployments."""
 
 import dataclasses
 import math
@@ -35,11 +35,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Deployment:
-    """A deployment's sizes.
+    """Size and workload parameters of a deployment.
 
     Attributes:
-        zones: (zone, region, engines, entry VMs) each.
-        median_tokens: Median of the body of the output lengths.
+        zones: A tuple (zone, region, engines, entry VMs) per zone.
+        median_tokens: Median output length, without the heavy tail.
     """
 
     name: str
@@ -81,11 +81,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """A request to come.
+    """A request of the workload.
 
     Attributes:
-        region: Region in which the balancer hands it to a VM.
-        draw: Uniform number by which the VM is chosen.
+        region: Region in which the balancer assigns it to a VM.
+        vm_draw: Uniform random number that selects the VM.
     """
 
     name: str
@@ -102,14 +102,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class WorkloadVariation:
-    """How a workload departs from the usual one.
+    """Deviations of a workload from the default.
 
     Attributes:
-        shift_at_ms: When output lengths grow, or None.
-        shift_factor: By what factor.
+        shift_at_ms: Time from which outputs are longer, or None.
+        shift_factor: Factor on the median output length from then on.
         prompt_factor: Factor on the size of all prompts.
-        flood_account: Account that sends more, or None.
-        flood_factor: How many times its usual rate.
+        flood_account: Account with an increased rate, or None.
+        flood_factor: Factor on the rate of that account.
     """
 
     shift_at_ms: float | None = None
@@ -126,18 +126,18 @@
     seed: int,
     shape: WorkloadVariation,
 ) -> list[Request]:
-    """Return the requests of one run, in order of time.
+    """Return the requests of one run in order of arrival.
 
     Args:
-        deployment: Whose workload.
+        deployment: The deployment.
         rate_per_s: Mean rate without a flood.
-        span_ms: Length of the run.
-        seed: Seed of all draws.
-        shape: Departures from the usual.
+        span_ms: Duration of the run.
+        seed: Seed of the random number generator.
+        shape: Deviations from the default workload.
     """
     generator = random.Random(f'{deployment.name}/{seed}')
-    # Each request is drawn the same whatever the rate, so that runs at
-    # several loads differ in their spacing alone.
+    # The random draws of each request do not depend on the rate, so that
+    # runs at several loads differ only in the arrival times.
     shares = list(ACCOUNT_SHARES)
     names = [f'account-{index}' for index in range(len(shares))]
     if shape.flood_account is not None:
