--- a/benchmarks/coordination/control_cost.py
+++ b/benchmarks/coordination/control_cost.py
@@ -69,7 +69,7 @@
     http_bytes_per_s: float
 
 
-class _Load(http.server.BaseHTTPRequestHandler):
+class _LoadHandler(http.server.BaseHTTPRequestHandler):
     """Answers as an upstream would, always with new figures."""
 
     protocol_version = 'HTTP/1.1'
@@ -101,18 +101,18 @@
         """Log nothing."""
 
 
-class Peers:
+class SimulatedPeers:
     """Simulated peers: each sends what a real one would."""
 
     def __init__(self, count: int, keys: dict[str, int]) -> None:
         self.count = count
         self.keys = list(keys.values())
         self.context = zmq.Context()
-        self.puller = self.context.socket(zmq.PULL)
-        port = self.puller.bind_to_random_port('tcp://127.0.0.1')
+        self.receiver = self.context.socket(zmq.PULL)
+        port = self.receiver.bind_to_random_port('tcp://127.0.0.1')
         self.address = f'127.0.0.1:{port}'
         self.names = [f'peer-{number:02d}' for number in range(count)]
-        self.own = _first_observers(keys, [*self.names, 'subject'])
+        self.observed_keys = _first_observers(keys, [*self.names, 'subject'])
         self.stopped = threading.Event()
         self.threads = []
 
@@ -120,7 +120,7 @@
         """Begin to send to the daemon that is measured."""
         self.threads = [
             threading.Thread(target=self._send, args=(subject,)),
-            threading.Thread(target=self._drain),
+            threading.Thread(target=self._discard_received),
         ]
         for thread in self.threads:
             thread.start()
@@ -132,10 +132,10 @@
             thread.join()
         self.context.destroy(linger=0)
 
-    def _drain(self) -> None:
+    def _discard_received(self) -> None:
         while not self.stopped.is_set():
-            if self.puller.poll(100):
-                self.puller.recv()
+            if self.receiver.poll(100):
+                self.receiver.recv()
 
     def _send(self, subject: str) -> None:
         secret = deployment.SECRET.encode()
@@ -148,38 +148,42 @@
             sockets.append(self.context.socket(zmq.PUSH))
             sockets[-1].connect(f'tcp://{subject}')
         for codec, socket in zip(codecs, sockets, strict=True):
-            place = messages.Introduction(self.address, 'z0', 'r', False)
-            socket.send(codec.encode(place))
+            introduction = messages.Introduction(
+                self.address, 'z0', 'r', False
+            )
+            socket.send(codec.encode(introduction))
         interval_s = _heartbeat_interval_ms(self.count) / 1_000
         at_ms = 0
         while not self.stopped.is_set():
             at_ms += 1
             for number, codec in enumerate(codecs):
-                sockets[number].send(codec.encode(self._beat(number, at_ms)))
+                sockets[number].send(
+                    codec.encode(self._heartbeat(number, at_ms))
+                )
                 self.stopped.wait(interval_s / self.count)
 
-    def _beat(self, number: int, at_ms: int) -> messages.Heartbeat:
+    def _heartbeat(self, number: int, at_ms: int) -> messages.Heartbeat:
         interval_s = _heartbeat_interval_ms(self.count) / 1_000
         share = membership_part.DIGEST_BYTES_PER_S * interval_s / self.count
         budget = max(membership_part.MIN_DIGEST_BYTES, share)
-        own = self.own[self.names[number]]
-        most = int(budget * digest.LOAD_SHARE // digest.LOAD_BYTES)
+        observed = self.observed_keys[self.names[number]]
+        count = int(budget * digest.LOAD_SHARE // digest.LOAD_BYTES)
         # Each in its turn, as under a budget.
-        own.rotate(most)
+        observed.rotate(count)
         loads = [
             messages.LoadEntry(key, at_ms, 200_000, 400_000, 30, 3, 9)
-            for key in list(own)[:most]
+            for key in list(observed)[:count]
         ]
-        left = budget - len(loads) * digest.LOAD_BYTES
-        most = min(60, int(left // digest.IN_FLIGHT_BYTES))
+        remaining = budget - len(loads) * digest.LOAD_BYTES
+        count = min(60, int(remaining // digest.IN_FLIGHT_BYTES))
         held = [
             messages.InFlightEntry(key, 1 + at_ms % 3, 5_000)
-            for key in self.keys[:most]
+            for key in self.keys[:count]
         ]
         return messages.Heartbeat(1, loads=tuple(loads), held=tuple(held))
 
 
-class LeaseKeeper:
+class LeaseHolder:
     """Holds the region's lease, so that the daemon only watches it."""
 
     def __init__(self, table: base.Table) -> None:
@@ -212,7 +216,7 @@
 
 def measure(peers: int, upstreams: int) -> Cost:
     """Return what the control of a VM with so many peers costs."""
-    server = http.server.ThreadingHTTPServer(('127.0.0.1', 0), _Load)
+    server = http.server.ThreadingHTTPServer(('127.0.0.1', 0), _LoadHandler)
     server.daemon_threads = True
     threading.Thread(target=server.serve_forever, daemon=True).start()
     relays = [
@@ -223,45 +227,45 @@
         name: rendezvous.name_hash(f'{name}@{relays[0].address}')
         for name in names
     }
-    simulated = Peers(peers, keys)
-    placed = deployment.Deployment()
-    keeper = None
+    peers_group = SimulatedPeers(peers, keys)
+    cluster = deployment.Deployment()
+    lease_holder = None
     try:
-        platform = placed.url.removeprefix('http://')
+        platform = cluster.url.removeprefix('http://')
         relays.append(counting_relay.CountingRelay(platform))
-        subject = placed.add('subject', url=f'http://{relays[1].address}')
+        subject = cluster.add('subject', url=f'http://{relays[1].address}')
         entries = [
-            _entry(name, simulated.address, 'entry')
-            for name in simulated.names
+            _entry(name, peers_group.address, 'entry')
+            for name in peers_group.names
         ]
         entries += [
             _entry(name, relays[0].address, 'engine') for name in names
         ]
-        placed.list_vms('subject', others=entries)
-        placed.accept('first')
-        keeper = LeaseKeeper(placed.platform.table)
-        placed.start('subject')
+        cluster.list_vms('subject', others=entries)
+        cluster.accept('first')
+        lease_holder = LeaseHolder(cluster.platform.table)
+        cluster.start('subject')
         deployment.wait_for(subject.is_ready)
-        simulated.start(subject.settings['listen']['peers'])
+        peers_group.start(subject.settings['listen']['peers'])
         time.sleep(WARM_UP_S)
-        return _cost(subject, relays, peers, upstreams)
+        return _measure_cost(subject, relays, peers, upstreams)
     finally:
-        if keeper is not None:
-            keeper.stop()
-        simulated.stop()
-        placed.close()
+        if lease_holder is not None:
+            lease_holder.stop()
+        peers_group.stop()
+        cluster.close()
         server.shutdown()
         for relay in relays:
             relay.close()
 
 
-def _cost(subject, relays, peers: int, upstreams: int) -> Cost:
+def _measure_cost(subject, relays, peers: int, upstreams: int) -> Cost:
     process = psutil.Process(subject.process.pid)
     live = [p for p in subject.status()['peers'] if p['state'] == 'live']
     assert len(live) == peers, f'{len(live)} of {peers} peers are live'
-    before = _counts(process, subject, relays)
+    before = _read_counters(process, subject, relays)
     time.sleep(MEASURE_S)
-    after = _counts(process, subject, relays)
+    after = _read_counters(process, subject, relays)
     cpu, sent, sent_bytes, http_bytes, at_s = (
         b - a for a, b in zip(before, after, strict=True)
     )
@@ -276,7 +280,7 @@
     )
 
 
-def _counts(process, subject, relays) -> tuple[float, ...]:
+def _read_counters(process, subject, relays) -> tuple[float, ...]:
     link = subject.status()['peer_link']
     times = process.cpu_times()
     return (
@@ -284,7 +288,7 @@
         sum(link['sent'].values()) + sum(link['received'].values()),
         sum(link['sent_bytes'].values())
         + sum(link['received_bytes'].values()),
-        sum(relay.bytes for relay in relays),
+        sum(relay.byte_count for relay in relays),
         time.monotonic(),
     )
 
@@ -292,12 +296,12 @@
 def _first_observers(
     keys: dict[str, int], members: list[str]
 ) -> dict[str, collections.deque]:
-    own: dict[str, collections.deque] = {
+    observed: dict[str, collections.deque] = {
         member: collections.deque() for member in members
     }
     for name, key in keys.items():
-        own[rendezvous.ranked(name, members, 1)[0]].append(key)
-    return own
+        observed[rendezvous.ranked(name, members, 1)[0]].append(key)
+    return observed
 
 
 def _heartbeat_interval_ms(peers: int) -> float:
@@ -329,9 +333,9 @@
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    over = sum((x - mean_x) * (y - mean_y) for x, y in points)
-    under = sum((x - mean_x) ** 2 for x, _ in points)
-    gradient = over / under
+    covariance = sum((x - mean_x) * (y - mean_y) for x, y in points)
+    variance = sum((x - mean_x) ** 2 for x, _ in points)
+    gradient = covariance / variance
     return gradient, mean_y - gradient * mean_x
 
 
@@ -358,16 +362,16 @@
         json.dumps([dataclasses.asdict(cost) for cost in costs], indent=2)
         + '\n'
     )
-    broken = [
+    over_target = [
         cost
         for cost in costs
         if cost.memory_bytes > MAX_MEMORY_BYTES
         or cost.peer_bytes_per_s + cost.http_bytes_per_s > MAX_BYTES_PER_S
         or cost.cpu_share > MAX_CPU_SHARE
     ]
-    for cost in broken:
+    for cost in over_target:
         print(f'over the target: {cost}')
-    sys.exit(1 if broken else 0)
+    sys.exit(1 if over_target else 0)
 
 
 if __name__ == '__main__':
--- a/benchmarks/coordination/counting_relay.py
+++ b/benchmarks/coordination/counting_relay.py
@@ -24,7 +24,7 @@
         self.target = (host, int(port))
         self.listener = socket.create_server(('127.0.0.1', 0), backlog=512)
         self.address = '127.0.0.1:%d' % self.listener.getsockname()[1]
-        self.bytes = 0
+        self.byte_count = 0
         self.lock = threading.Lock()
         threading.Thread(target=self._accept, daemon=True).start()
 
@@ -35,20 +35,20 @@
     def _accept(self) -> None:
         while True:
             try:
-                near, _ = self.listener.accept()
+                client, _ = self.listener.accept()
             except OSError:
                 return
-            far = socket.create_connection(self.target)
-            for ends in ((near, far), (far, near)):
+            server = socket.create_connection(self.target)
+            for ends in ((client, server), (server, client)):
                 threading.Thread(
-                    target=self._pass, args=ends, daemon=True
+                    target=self._forward, args=ends, daemon=True
                 ).start()
 
-    def _pass(self, source: socket.socket, sink: socket.socket) -> None:
+    def _forward(self, source: socket.socket, sink: socket.socket) -> None:
         try:
             while data := source.recv(CHUNK_BYTES):
                 with self.lock:
-                    self.bytes += len(data)
+                    self.byte_count += len(data)
                 sink.sendall(data)
             sink.shutdown(socket.SHUT_WR)
         except OSError:
--- a/benchmarks/coordination/in_force.py
+++ b/benchmarks/coordination/in_force.py
@@ -28,10 +28,12 @@
 )
 
 
-def adopted(placed: deployment.Deployment, vm: str) -> dict[int, float]:
+def adoption_times(
+    cluster: deployment.Deployment, vm: str
+) -> dict[int, float]:
     """Return when a daemon adopted each version, in seconds since 1970."""
     times = {}
-    for match in _ADOPTED.finditer(placed.log(vm)):
+    for match in _ADOPTED.finditer(cluster.log(vm)):
         moment = datetime.datetime.fromisoformat(match['time'])
         times[int(match['version'])] = moment.timestamp()
     return times
@@ -39,37 +41,37 @@
 
 def measure(daemons: int, texts: int) -> list[float]:
     """Return the seconds until each text was in force on each VM."""
-    placed = deployment.Deployment()
+    cluster = deployment.Deployment()
     try:
         names = [f'v{number}' for number in range(daemons)]
         for number, name in enumerate(names):
-            placed.add(name, ZONES[number % len(ZONES)])
-        placed.list_vms(*names)
-        placed.accept('first')
-        placed.start(*names)
+            cluster.add(name, ZONES[number % len(ZONES)])
+        cluster.list_vms(*names)
+        cluster.accept('first')
+        cluster.start(*names)
         deployment.wait_for(
-            lambda: all(d.is_ready() for d in placed.daemons.values()), 120
+            lambda: all(d.is_ready() for d in cluster.daemons.values()), 120
         )
         accepted = {}
         for number in range(texts):
-            version = placed.accept(f'text {number}')
+            version = cluster.accept(f'text {number}')
             accepted[version] = time.time()
             time.sleep(2.7)
         deployment.wait_for(
             lambda: all(
-                d.version() == version for d in placed.daemons.values()
+                d.version() == version for d in cluster.daemons.values()
             )
         )
         delays = []
         for name in names:
-            times = adopted(placed, name)
+            times = adoption_times(cluster, name)
             for version, at_s in accepted.items():
                 # A text may be superseded before a VM has seen it.
                 later = [t for v, t in times.items() if v >= version]
                 delays.append(max(0.0, min(later) - at_s))
         return delays
     finally:
-        placed.close()
+        cluster.close()
 
 
 def main(
--- a/benchmarks/coordination/suspicion.py
+++ b/benchmarks/coordination/suspicion.py
@@ -21,14 +21,14 @@
 
 INTERVAL_MS = 1_000.0
 CHECK_MS = 100.0
-LIFE_MS = 600_000.0
+LIFETIME_MS = 600_000.0
 MAX_SILENCE_MS = 60_000.0
 # Work at a VM that has died must be moved within seconds.
 MAX_DETECTION_MS = 13_000.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Conditions:
+class LinkConditions:
     """What a link does to heartbeats.
 
     Attributes:
@@ -42,19 +42,19 @@
 
 
 CONDITIONS = (
-    Conditions('quiet', 2.0, 0.0),
-    Conditions('jitter 200 ms', 200.0, 0.0),
-    Conditions('loss 5%', 20.0, 0.05),
-    Conditions('loss 20%', 20.0, 0.2),
-    Conditions('jitter 500 ms, loss 10%', 500.0, 0.1),
+    LinkConditions('quiet', 2.0, 0.0),
+    LinkConditions('jitter 200 ms', 200.0, 0.0),
+    LinkConditions('loss 5%', 20.0, 0.05),
+    LinkConditions('loss 20%', 20.0, 0.2),
+    LinkConditions('jitter 500 ms, loss 10%', 500.0, 0.1),
 )
 
 
-class FixedLimit:
+class FixedTimeout:
     """Suspects after a fixed silence."""
 
-    def __init__(self, limit_ms: float) -> None:
-        self.limit_ms = limit_ms
+    def __init__(self, timeout_ms: float) -> None:
+        self.timeout_ms = timeout_ms
         self.last_ms = 0.0
 
     def record_heartbeat(self, now_ms: float) -> None:
@@ -63,21 +63,23 @@
 
     def is_suspect(self, now_ms: float) -> bool:
         """Return whether the silence is longer than the limit."""
-        return now_ms - self.last_ms > self.limit_ms
+        return now_ms - self.last_ms > self.timeout_ms
 
 
 DETECTORS = {
     'adaptive': lambda: failure_detector.PhiAccrualDetector(INTERVAL_MS),
-    'fixed 3 s': lambda: FixedLimit(3 * INTERVAL_MS),
-    'fixed 6 s': lambda: FixedLimit(6 * INTERVAL_MS),
+    'fixed 3 s': lambda: FixedTimeout(3 * INTERVAL_MS),
+    'fixed 6 s': lambda: FixedTimeout(6 * INTERVAL_MS),
 }
 
 
-def arrivals(conditions: Conditions, generator: random.Random) -> list[float]:
+def heartbeat_arrivals(
+    conditions: LinkConditions, generator: random.Random
+) -> list[float]:
     """Return when the heartbeats of one life arrive, in order."""
     times = []
     sent_ms = 0.0
-    while sent_ms < LIFE_MS:
+    while sent_ms < LIFETIME_MS:
         sent_ms += INTERVAL_MS
         if generator.random() >= conditions.loss:
             delay_ms = generator.expovariate(1 / conditions.jitter_ms)
@@ -85,15 +87,15 @@
     return sorted(times)
 
 
-def live(detector, times: list[float]) -> tuple[int, float]:
+def simulate_life(detector, times: list[float]) -> tuple[int, float]:
     """Return the false suspicions of a life and the time to the true one."""
-    false = 0
+    false_suspicions = 0
     suspected = False
     now_ms = times[0]
     for at_ms in times:
         while now_ms < at_ms:
             suspect = detector.is_suspect(now_ms)
-            false += suspect and not suspected
+            false_suspicions += suspect and not suspected
             suspected = suspect
             now_ms += CHECK_MS
         detector.record_heartbeat(at_ms)
@@ -102,7 +104,7 @@
         now_ms += CHECK_MS
         if now_ms - times[-1] > MAX_SILENCE_MS:
             break
-    return false, now_ms - times[-1]
+    return false_suspicions, now_ms - times[-1]
 
 
 def main(
@@ -110,19 +112,21 @@
     lives: typing.Annotated[int, typer.Option()] = 50,
 ) -> None:
     """Print detection time and false suspicions by conditions."""
-    hours = lives * LIFE_MS / 3_600_000
+    hours = lives * LIFETIME_MS / 3_600_000
     print(f'seed {seed}, {lives} lives of 600 s, heartbeats each 1000 ms')
     print('conditions               detector   false/peer-hour  p50 s  max s')
     worst = 0.0
     for conditions in CONDITIONS:
         generator = random.Random(f'{seed} {conditions.name}')
-        all_times = [arrivals(conditions, generator) for _ in range(lives)]
+        all_times = [
+            heartbeat_arrivals(conditions, generator) for _ in range(lives)
+        ]
         for name, create in DETECTORS.items():
-            outcomes = [live(create(), times) for times in all_times]
-            false = sum(count for count, _ in outcomes) / hours
+            outcomes = [simulate_life(create(), times) for times in all_times]
+            false_suspicions = sum(count for count, _ in outcomes) / hours
             detection = sorted(ms / 1_000 for _, ms in outcomes)
             print(
-                f'{conditions.name:24s} {name:10s} {false:15.2f}'
+                f'{conditions.name:24s} {name:10s} {false_suspicions:15.2f}'
                 f' {statistics.median(detection):6.1f} {detection[-1]:6.1f}',
                 flush=True,
             )
--- a/benchmarks/coordination/takeover.py
+++ b/benchmarks/coordination/takeover.py
@@ -67,23 +67,23 @@
     """Conditions of a takeover.
 
     Attributes:
-        low_ms: Least time of a read or write, one way.
-        high_ms: Most time, one way.
-        dead_ranks: How many of the first ranks died with the holder.
+        min_latency_ms: Least time of a read or write, one way.
+        max_latency_ms: Most time, one way.
+        failed_rank_share: How many of the first ranks died with the holder.
         loss: Share of answers that never come.
     """
 
     name: str
-    low_ms: float
-    high_ms: float
-    dead_ranks: float = 0.0
+    min_latency_ms: float
+    max_latency_ms: float
+    failed_rank_share: float = 0.0
     loss: float = 0.0
 
 
 SCENARIOS = (
     Scenario('fast', 1.0, 10.0),
     Scenario('slow', 50.0, 500.0),
-    Scenario('zone lost', 1.0, 10.0, dead_ranks=1 / 3),
+    Scenario('zone lost', 1.0, 10.0, failed_rank_share=1 / 3),
     Scenario('lossy', 1.0, 10.0, loss=0.1),
 )
 
@@ -107,11 +107,11 @@
         self.generator = random.Random(f'{seed} {contenders} {name}')
         self.contenders = contenders
         self.queue: list = []
-        self.count = 0
+        self.scheduled_count = 0
         self.record = None
         self.version: int | None = None
-        self.dead: set[int] = set()
-        self.died_ms: float | None = None
+        self.failed: set[int] = set()
+        self.failed_ms: float | None = None
         self.outcome = Outcome()
         self.ranks = list(range(contenders))
         self.leases = [
@@ -123,72 +123,74 @@
         for index in range(self.contenders):
             # The holder is the first; the others start after it.
             at_ms = self.generator.uniform(0, TICK_MS) + (500 if index else 0)
-            self._at(at_ms, self._tick, index)
-        death_ms = WARM_UP_MS + self.generator.uniform(0, 4_000)
-        self._at(death_ms, self._die)
+            self._schedule(at_ms, self._tick, index)
+        failure_ms = WARM_UP_MS + self.generator.uniform(0, 4_000)
+        self._schedule(failure_ms, self._fail_holder)
         while self.queue:
             now_ms, _, function, arguments = heapq.heappop(self.queue)
             function(now_ms, *arguments)
             if self.outcome.takeover_ms < MAX_TAKEOVER_MS:
                 break
-            if now_ms > death_ms + MAX_TAKEOVER_MS:
+            if now_ms > failure_ms + MAX_TAKEOVER_MS:
                 break
         return self.outcome
 
-    def _at(self, at_ms: float, function, *arguments) -> None:
-        self.count += 1
-        heapq.heappush(self.queue, (at_ms, self.count, function, arguments))
+    def _schedule(self, at_ms: float, function, *arguments) -> None:
+        self.scheduled_count += 1
+        heapq.heappush(
+            self.queue, (at_ms, self.scheduled_count, function, arguments)
+        )
 
-    def _die(self, now_ms: float) -> None:
+    def _fail_holder(self, now_ms: float) -> None:
         holder = next(
             (i for i, lease in enumerate(self.leases) if lease.epoch), None
         )
         if holder is None:
-            self._at(now_ms + TICK_MS, self._die)
+            self._schedule(now_ms + TICK_MS, self._fail_holder)
             return
-        self.died_ms = now_ms
-        self.dead.add(holder)
+        self.failed_ms = now_ms
+        self.failed.add(holder)
         others = [i for i in range(self.contenders) if i != holder]
-        lost = int(len(others) * self.scenario.dead_ranks)
-        self.dead.update(others[:lost])
-        self._at(now_ms + DETECTION_MS, self._rank_anew)
+        failed_count = int(len(others) * self.scenario.failed_rank_share)
+        self.failed.update(others[:failed_count])
+        self._schedule(now_ms + DETECTION_MS, self._reassign_ranks)
 
-    def _rank_anew(self, now_ms: float) -> None:
-        alive = [i for i in range(self.contenders) if i not in self.dead]
+    def _reassign_ranks(self, now_ms: float) -> None:
+        alive = [i for i in range(self.contenders) if i not in self.failed]
         for rank, index in enumerate(alive):
             self.ranks[index] = rank
 
     def _tick(self, now_ms: float, index: int) -> None:
-        if index in self.dead:
+        if index in self.failed:
             return
-        self._tell(now_ms, index, messages.Tick(self.ranks[index]))
-        self._at(now_ms + TICK_MS, self._tick, index)
+        self._handle(now_ms, index, messages.Tick(self.ranks[index]))
+        self._schedule(now_ms + TICK_MS, self._tick, index)
 
-    def _tell(self, now_ms: float, index: int, event) -> None:
-        if index in self.dead:
+    def _handle(self, now_ms: float, index: int, event) -> None:
+        if index in self.failed:
             return
         for action in self.leases[index].handle(event, now_ms):
             match action:
                 case messages.ReadRow() | messages.WriteRow():
-                    self._at(
-                        now_ms + self._latency(), self._serve, index, action
+                    self._schedule(
+                        now_ms + self._latency(), self._answer, index, action
                     )
-                case messages.Gained() if self.died_ms is not None:
-                    self.outcome.takeover_ms = now_ms - self.died_ms
+                case messages.Gained() if self.failed_ms is not None:
+                    self.outcome.takeover_ms = now_ms - self.failed_ms
 
-    def _serve(self, now_ms: float, index: int, action) -> None:
+    def _answer(self, now_ms: float, index: int, action) -> None:
         answer = self._perform(action)
         if self.generator.random() < self.scenario.loss:
             wrote = isinstance(action, messages.WriteRow)
             failed = messages.WriteFailed if wrote else messages.ReadFailed
-            self._at(now_ms + 2_000, self._tell, index, failed())
+            self._schedule(now_ms + 2_000, self._handle, index, failed())
             return
-        self._at(now_ms + self._latency(), self._tell, index, answer)
+        self._schedule(now_ms + self._latency(), self._handle, index, answer)
 
     def _perform(self, action):
         if isinstance(action, messages.ReadRow):
             return messages.RowRead(self.record, self.version)
-        counted = self.died_ms is not None
+        counted = self.failed_ms is not None
         self.outcome.writes += counted
         if action.row_version != self.version:
             self.outcome.conflicts += counted
@@ -199,7 +201,7 @@
 
     def _latency(self) -> float:
         return self.generator.uniform(
-            self.scenario.low_ms, self.scenario.high_ms
+            self.scenario.min_latency_ms, self.scenario.max_latency_ms
         )
 
 
--- a/eelgrassknot/coordination/digest.py
+++ b/eelgrassknot/coordination/digest.py
@@ -208,21 +208,21 @@
             budget_bytes: Approximate maximum size.
             now_ms: Current time.
         """
-        left = budget_bytes
-        loads = self.own_loads.take(left * LOAD_SHARE, now_ms)
-        left -= len(loads) * LOAD_BYTES
-        held = self.in_flight.take(left * IN_FLIGHT_SHARE, now_ms)
-        left -= len(held) * IN_FLIGHT_BYTES
-        zones = self.zones.take(left * ZONE_SHARE, now_ms)
-        left -= len(zones) * ZONE_BYTES
-        demands = self.demands.take(left, now_ms)
-        left -= len(demands) * DEMAND_BYTES
+        remaining = budget_bytes
+        loads = self.own_loads.take(remaining * LOAD_SHARE, now_ms)
+        remaining -= len(loads) * LOAD_BYTES
+        held = self.in_flight.take(remaining * IN_FLIGHT_SHARE, now_ms)
+        remaining -= len(held) * IN_FLIGHT_BYTES
+        zones = self.zones.take(remaining * ZONE_SHARE, now_ms)
+        remaining -= len(zones) * ZONE_BYTES
+        demands = self.demands.take(remaining, now_ms)
+        remaining -= len(demands) * DEMAND_BYTES
         return Payload(
             tuple(loads),
             tuple(held),
             tuple(demands),
             tuple(zones),
-            self._take_cache(left),
+            self._take_cache(remaining),
         )
 
     def add_cache_entry(self, entry: messages.CacheEntry) -> None:
--- a/eelgrassknot/coordination/digest_part.py
+++ b/eelgrassknot/coordination/digest_part.py
@@ -42,20 +42,21 @@
 
     def bind(self) -> None:
         """Look up the parts that this one uses, and register with them."""
-        members = self.node.part_set.parts
-        self.dispatch = members['dispatch']
-        self.upstreams = members['upstreams']
-        members['peers'].link.on_message(
-            messages.Heartbeat, self._on_heartbeat
-        )
-        members['membership'].payload_source = self.next_payload
-        members['membership'].zone_load_source = self.zone_loads
+        others = self.node.part_set.parts
+        self.dispatch = others['dispatch']
+        self.upstreams = others['upstreams']
+        others['peers'].link.on_message(messages.Heartbeat, self._on_heartbeat)
+        others['membership'].payload_source = self.next_payload
+        others['membership'].zone_load_source = self.zone_loads
 
     def status(self) -> dict[str, object]:
         """Return the number and maximum age of the known loads."""
         now_ms = self.node.clock.now_ms()
         with self.lock:
-            ages = [now_ms - heard for _, heard in self.digest.loads.values()]
+            ages = [
+                now_ms - received_ms
+                for _, received_ms in self.digest.loads.values()
+            ]
         return {
             'digests': {
                 'loads': len(ages),
--- a/eelgrassknot/coordination/links.py
+++ b/eelgrassknot/coordination/links.py
@@ -54,7 +54,7 @@
 def choose_links(
     vm: ids.VmId,
     availability_zone: ids.AvailabilityZoneId,
-    places: collections.abc.Mapping[ids.VmId, LinkCandidate],
+    candidates: collections.abc.Mapping[ids.VmId, LinkCandidate],
 ) -> Links:
     """Return the links that a VM should have.
 
@@ -71,13 +71,13 @@
     zone: dict[ids.VmId, str] = {}
     members = [vm]
     others: dict[str, dict[ids.VmId, str]] = collections.defaultdict(dict)
-    for peer, place in places.items():
-        if place.availability_zone == availability_zone:
-            zone[peer] = place.address
-            if place.is_live:
+    for peer, candidate in candidates.items():
+        if candidate.availability_zone == availability_zone:
+            zone[peer] = candidate.address
+            if candidate.is_live:
                 members.append(peer)
-        elif place.is_live:
-            others[place.availability_zone][peer] = place.address
+        elif candidate.is_live:
+            others[candidate.availability_zone][peer] = candidate.address
     if vm not in rendezvous.ranked(_GATEWAY_KEY, members, GATEWAYS):
         return Links(zone, {})
     far = {
@@ -95,7 +95,7 @@
         membership: The VM's view of the entry VMs.
     """
     members = set(membership.zone_members())
-    places = {}
+    candidates = {}
     for peer in membership.peers.values():
         if peer.location is None:
             continue
@@ -104,5 +104,9 @@
             is_live = peer.vm in members
         else:
             is_live = peer.listed or peer.state is memberships.PeerState.LIVE
-        places[peer.vm] = LinkCandidate(zone, peer.location.address, is_live)
-    return choose_links(membership.vm, membership.availability_zone, places)
+        candidates[peer.vm] = LinkCandidate(
+            zone, peer.location.address, is_live
+        )
+    return choose_links(
+        membership.vm, membership.availability_zone, candidates
+    )
--- a/eelgrassknot/coordination/membership.py
+++ b/eelgrassknot/coordination/membership.py
@@ -279,10 +279,10 @@
         return all(peer.vm in other.unheard for other in witnesses)
 
     def _in_zone(self, peer: Peer) -> bool:
-        place = peer.location
-        if place is None:
+        location = peer.location
+        if location is None:
             return True
-        return place.availability_zone == self.availability_zone
+        return location.availability_zone == self.availability_zone
 
     def _is_expired(self, peer: Peer, now_ms: float) -> bool:
         if peer.listed:
--- a/eelgrassknot/coordination/membership_part.py
+++ b/eelgrassknot/coordination/membership_part.py
@@ -164,10 +164,10 @@
     def _connect(self, vm: ids.VmId, until_ms: float) -> bool:
         with self.lock:
             peer = self.membership.peers.get(vm)
-            place = peer.location if peer else None
-        if place is None:
+            location = peer.location if peer else None
+        if location is None:
             return False
-        self.link.connect(vm, place.address)
+        self.link.connect(vm, location.address)
         while not self.link.send(vm, self._make_introduction(False)):
             if self.node.clock.now_ms() > until_ms:
                 return False
@@ -188,19 +188,22 @@
         )
 
     def _on_introduction(self, envelope: messages.Envelope) -> None:
-        told = envelope.message
+        introduction = envelope.message
         self._handle(
             membership_messages.PeerLocation(
-                envelope.vm, told.address, told.availability_zone, told.region
+                envelope.vm,
+                introduction.address,
+                introduction.availability_zone,
+                introduction.region,
             )
         )
-        if told.answer:
-            self.link.connect(envelope.vm, told.address)
+        if introduction.answer:
+            self.link.connect(envelope.vm, introduction.address)
             self.pending_introductions.add(envelope.vm)
-        if told.address in self.pending_introductions:
+        if introduction.address in self.pending_introductions:
             # The VM behind this configured address is now known by name.
-            self.pending_introductions.discard(told.address)
-            self.link.disconnect(told.address)
+            self.pending_introductions.discard(introduction.address)
+            self.link.disconnect(introduction.address)
 
     def _handle(self, event: membership_messages.Event) -> None:
         now_ms = self.node.clock.now_ms()
@@ -231,10 +234,10 @@
                 self.pending_introductions.add(vm)
         for vm in set(before) - set(after):
             self.link.disconnect(vm)
-        announced = EntryVmsChanged(members, count)
-        if announced != self.last_published:
-            self.last_published = announced
-            self.node.hub.publish(announced)
+        event = EntryVmsChanged(members, count)
+        if event != self.last_published:
+            self.last_published = event
+            self.node.hub.publish(event)
 
     def _tick(self) -> None:
         now_ms = self.node.clock.now_ms()
@@ -332,11 +335,11 @@
 
 
 def _peer_status(peer: memberships.Peer) -> dict[str, object]:
-    place = peer.location
+    location = peer.location
     return {
         'vm': peer.vm,
         'state': peer.state.value,
         'incarnation': peer.incarnation,
-        'availability_zone': place.availability_zone if place else None,
-        'address': place.address if place else None,
+        'availability_zone': location.availability_zone if location else None,
+        'address': location.address if location else None,
     }
--- a/eelgrassknot/coordination/order_part.py
+++ b/eelgrassknot/coordination/order_part.py
@@ -108,8 +108,8 @@
             case kernel_events.ConfigAdopted(_, text):
                 self._handle(messages.ConfigUpdated(text))
             case kernel_events.UpstreamsChanged(upstreams):
-                near = tuple(u for u in upstreams if u.region == self.region)
-                self._handle(messages.UpstreamsUpdated(near))
+                local = tuple(u for u in upstreams if u.region == self.region)
+                self._handle(messages.UpstreamsUpdated(local))
             case messages.RequestEnded():
                 self._handle(event)
 
@@ -226,10 +226,10 @@
             f' {record.state.value}'
         )
         logs.event('rollout', service=record.service, state=record.state.value)
-        kept = self._write(
+        saved = self._write(
             write, rows.AuditKind.ROLLOUT, record.service, summary
         )
-        if not kept:
+        if not saved:
             self._handle(messages.RolloutWriteFailed(record.service))
 
     def _write(
@@ -270,8 +270,8 @@
             return []
         start = self.next_read_index % len(engines)
         self.next_read_index = start + MAX_STATE_READS
-        turned = engines[start:] + engines[:start]
-        return turned[:MAX_STATE_READS]
+        rotated = engines[start:] + engines[:start]
+        return rotated[:MAX_STATE_READS]
 
     def _read_state(self, upstream: kernel_events.UpstreamInfo) -> None:
         answer = http_client.request(
--- a/eelgrassknot/coordination/order_planner.py
+++ b/eelgrassknot/coordination/order_planner.py
@@ -175,8 +175,8 @@
             actions.append(messages.SaveRollout(record, self.fencing))
         continued = [
             upstream
-            for upstream, reached in progress.items()
-            if reached is rollout.EngineProgress.CHANGING
+            for upstream, state in progress.items()
+            if state is rollout.EngineProgress.CHANGING
         ]
         for upstream in continued + plan.engines_to_change():
             actions += self._next_order(service, upstream, now_ms)
--- a/eelgrassknot/coordination/rollout.py
+++ b/eelgrassknot/coordination/rollout.py
@@ -80,14 +80,14 @@
 
 
 def compare_health(
-    updated: Health, unchanged: Health, watched_ms: float
+    updated: Health, unchanged: Health, observed_ms: float
 ) -> Verdict:
     """Compare the updated engine with the unchanged ones.
 
     Args:
         updated: Requests at the updated engine.
         unchanged: Requests at the others in the same period.
-        watched_ms: How long the updated engine has been observed.
+        observed_ms: How long the updated engine has been observed.
 
     Example:
         >>> compare_health(Health(40, 20), Health(200, 2), 1_000.0).value
@@ -97,7 +97,7 @@
         allowed = unchanged.bad_share() + MAX_BAD_SHARE_EXCESS
         worse = updated.bad_share() > allowed
         return Verdict.BAD if worse else Verdict.GOOD
-    if watched_ms < CANARY_MAX_WATCH_MS:
+    if observed_ms < CANARY_MAX_WATCH_MS:
         return Verdict.WATCHING
     # With too little traffic to compare, a single bad request fails.
     return Verdict.BAD if updated.bad else Verdict.GOOD
@@ -204,8 +204,8 @@
         if self.canary_since_ms is None:
             self.canary_since_ms = now_ms
             self.health.clear()
-        watched_ms = now_ms - self.canary_since_ms
-        match compare_health(*self._health_by_group(), watched_ms):
+        observed_ms = now_ms - self.canary_since_ms
+        match compare_health(*self._health_by_group(), observed_ms):
             case Verdict.GOOD:
                 self.state = RolloutState.SPREADING
                 self.canary_since_ms = None
@@ -237,26 +237,26 @@
     def _replaceable(self) -> list[ids.UpstreamId]:
         if self.state is not RolloutState.SPREADING:
             return []
-        busy = self._engines_in(
+        unavailable = self._engines_in(
             EngineProgress.CHANGING,
             EngineProgress.EMPTY,
             EngineProgress.UNKNOWN,
         )
-        free = max(0, self._max_unavailable() - len(busy))
-        return self._engines_in(EngineProgress.OUTDATED)[:free]
+        allowed = max(0, self._max_unavailable() - len(unavailable))
+        return self._engines_in(EngineProgress.OUTDATED)[:allowed]
 
     def _max_unavailable(self) -> int:
         count = len(self.progress)
-        floor = math.ceil(count * MIN_SERVING_SHARE)
+        min_serving = math.ceil(count * MIN_SERVING_SHARE)
         # A service with few engines must give up one at a time, or it
         # could never be updated.
-        return max(1, count - floor)
+        return max(1, count - min_serving)
 
     def _engines_in(self, *wanted: EngineProgress) -> list[ids.UpstreamId]:
         return sorted(
             upstream
-            for upstream, reached in self.progress.items()
-            if reached in wanted
+            for upstream, state in self.progress.items()
+            if state in wanted
         )
 
     def _clear_canary(self) -> None:
--- a/eelgrassknot/coordination/vm_audit_part.py
+++ b/eelgrassknot/coordination/vm_audit_part.py
@@ -93,19 +93,19 @@
         if change is None:
             return
         for entry in change.entries:
-            verb = 'changed' if entry.vm in before else 'came'
-            self._queue(entry, f'{verb}, {entry.state.value}', now_ms)
+            event = 'changed' if entry.vm in before else 'came'
+            self._queue(entry, f'{event}, {entry.state.value}', now_ms)
         for vm in change.removed:
             self._queue(before[vm], 'left', now_ms)
 
-    def _queue(self, entry: base.VmEntry, verb: str, now_ms: float) -> None:
+    def _queue(self, entry: base.VmEntry, event: str, now_ms: float) -> None:
         at_ms = int(time.time() * clocks.MS_PER_SECOND)
         record = rows.AuditRecord(
             at_ms,
             rows.AuditKind.VM,
             self.node.settings.vm,
             (entry.service,) if entry.service else (),
-            f'{entry.kind.value} VM {entry.vm} {verb}',
+            f'{entry.kind.value} VM {entry.vm} {event}',
             detail={
                 'vm': entry.vm,
                 'address': f'{entry.address}:{entry.port}',
@@ -119,10 +119,10 @@
     def _write_pending(self) -> None:
         with self.lock:
             held = self.lease_held
-            noted = list(self.pending_writes)[:ROWS_PER_TRANSACTION]
-        if held is None or not noted:
+            pending = list(self.pending_writes)[:ROWS_PER_TRANSACTION]
+        if held is None or not pending:
             return
-        writes = [write for _, write in noted]
+        writes = [write for _, write in pending]
         change = ids.ChangeId(ids.random_id())
         answer = self.node.platform.table.transact(
             change, [held.condition], writes
@@ -130,6 +130,6 @@
         # Writing a row twice is harmless, as the key is the same.
         if answer.is_ok():
             with self.lock:
-                for each in noted:
-                    if each in self.pending_writes:
-                        self.pending_writes.remove(each)
+                for entry in pending:
+                    if entry in self.pending_writes:
+                        self.pending_writes.remove(entry)
--- a/eelgrassknot/coordination/vm_list_part.py
+++ b/eelgrassknot/coordination/vm_list_part.py
@@ -111,8 +111,10 @@
         name = self.node.generator.choice(names)
         answer = self.link.request(name, messages.ListFetch(), PEER_TIMEOUT_MS)
         match answer:
-            case result.Ok(messages.ListChange() as whole) if whole.entries:
-                self._publish(vm_list.apply({}, whole))
+            case result.Ok(messages.ListChange() as full_list) if (
+                full_list.entries
+            ):
+                self._publish(vm_list.apply({}, full_list))
 
     def _answer_fetch(
         self, vm: ids.VmId, query: messages.ListFetch
--- a/tests/coordination/deployment.py
+++ b/tests/coordination/deployment.py
@@ -15,15 +15,15 @@
 
 __all__ = ['Deployment', 'document', 'wait_for']
 
-LIMIT_S = 60.0
+TIMEOUT_S = 60.0
 POLL_S = 0.05
 SECRET = 'a secret of at least thirty-two bytes, for tests'
 
 
-def wait_for(condition, limit_s=LIMIT_S):
+def wait_for(condition, timeout_s=TIMEOUT_S):
     """Poll a condition; return its first true result."""
-    until = time.monotonic() + limit_s
-    while time.monotonic() < until:
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() < deadline:
         answer = condition()
         if answer:
             return answer
--- a/tests/coordination/fleet.py
+++ b/tests/coordination/fleet.py
@@ -10,7 +10,7 @@
 from eelgrassknot import states
 from eelgrassknot.upstreams import messages as upstream_messages
 
-__all__ = ['Fleet', 'services_text_of']
+__all__ = ['Fleet', 'make_services_text']
 
 SERVICE = ids.ServiceName('quoter')
 MODEL = 'm-quote'
@@ -18,7 +18,7 @@
 STEP_MS = 1_000.0
 
 
-def services_text_of(version, depends_on=(), loads_per_minute=60.0):
+def make_services_text(version, depends_on=(), loads_per_minute=60.0):
     """Return a services text with an engine service and a plain one."""
     return services_text.ServicesText(
         deployment='test',
@@ -51,10 +51,12 @@
         self.records = {}
         self.bad_version = None
         self.lost_answers = set()
-        self.most_changing = 0
-        self.planner.handle(messages.UpstreamsUpdated(self.infos()), 0.0)
+        self.max_changing = 0
+        self.planner.handle(
+            messages.UpstreamsUpdated(self.upstream_infos()), 0.0
+        )
 
-    def infos(self):
+    def upstream_infos(self):
         return tuple(
             kernel_events.UpstreamInfo(
                 ids.UpstreamId(name),
@@ -69,33 +71,33 @@
         )
 
     def adopt(self, text):
-        self.tell(messages.ConfigUpdated(text))
+        self.handle(messages.ConfigUpdated(text))
 
-    def gain(self, fencing):
+    def gain_lease(self, fencing):
         records = tuple(self.records.values())
-        self.tell(messages.LeaseGained(ids.FencingNumber(fencing), records))
+        self.handle(messages.LeaseGained(ids.FencingNumber(fencing), records))
 
     def replace_planner(self, text, fencing):
         self.planner = order_planner.OrderPlanner()
-        self.tell(messages.UpstreamsUpdated(self.infos()))
+        self.handle(messages.UpstreamsUpdated(self.upstream_infos()))
         self.adopt(text)
-        self.gain(fencing)
+        self.gain_lease(fencing)
 
-    def tell(self, event):
+    def handle(self, event):
         for action in self.planner.handle(event, self.clock.now_ms()):
-            self.carry_out(action)
+            self.execute(action)
 
-    def carry_out(self, action):
+    def execute(self, action):
         match action:
             case messages.WriteIntent(upstream):
-                self.tell(messages.IntentWritten(upstream))
+                self.handle(messages.IntentWritten(upstream))
             case messages.SendOrder(upstream, _, request):
                 self.sent.append((self.clock.now_ms(), upstream, request))
                 self.loading[upstream] = (
                     self.clock.now_ms() + LOAD_MS,
                     request.version,
                 )
-                self.tell(messages.OrderAnswered(upstream))
+                self.handle(messages.OrderAnswered(upstream))
             case messages.SaveRollout(record):
                 self.records[record.service] = record
 
@@ -112,16 +114,18 @@
                 self.version[name] = version
                 del self.loading[name]
         for name in self.version:
-            self.tell(messages.EngineStateRead(name, self.held(name)))
+            self.handle(
+                messages.EngineStateRead(name, self.engine_state(name))
+            )
             if requests and name not in self.loading:
                 bad = self.version[name] == self.bad_version
-                self.tell(messages.RequestEnded(SERVICE, name, bad))
-        self.tell(messages.Tick())
+                self.handle(messages.RequestEnded(SERVICE, name, bad))
+        self.handle(messages.Tick())
         serving = [v for n, v in self.version.items() if v]
         if len(serving) == len(self.version):
-            self.most_changing = max(self.most_changing, len(self.loading))
+            self.max_changing = max(self.max_changing, len(self.loading))
 
-    def held(self, name):
+    def engine_state(self, name):
         version = self.version[name]
         held = [upstream_messages.HeldModel(MODEL, version)] if version else []
         loading = [
--- a/tests/coordination/memory_table.py
+++ b/tests/coordination/memory_table.py
@@ -28,18 +28,20 @@
         if self.down:
             return _unavailable()
         for condition in conditions:
-            place = (condition.table, condition.key)
-            version = self.rows.get(place, (None, None))[1]
+            row_key = (condition.table, condition.key)
+            version = self.rows.get(row_key, (None, None))[1]
             if version != condition.version:
-                return result.Err(exceptions.RowConflictError(*place, version))
+                return result.Err(
+                    exceptions.RowConflictError(*row_key, version)
+                )
         versions = {}
         for write in writes:
-            place = (write.table, write.key)
+            row_key = (write.table, write.key)
             if write.value is None:
-                self.rows.pop(place, None)
+                self.rows.pop(row_key, None)
                 continue
-            version = self.rows.get(place, (None, 0))[1] + 1
-            self.rows[place] = (write.value, version)
+            version = self.rows.get(row_key, (None, 0))[1] + 1
+            self.rows[row_key] = (write.value, version)
             versions[f'{write.table}/{write.key}'] = version
         if self.lose_answers:
             self.lose_answers -= 1
--- a/tests/coordination/state_machines.py
+++ b/tests/coordination/state_machines.py
@@ -3,7 +3,7 @@
 import hypothesis
 from hypothesis import stateful
 
-__all__ = ['assert_caught', 'run']
+__all__ = ['assert_violation', 'run']
 
 _STEPS = 24
 
@@ -21,7 +21,7 @@
     stateful.run_state_machine_as_test(machine, settings=settings)
 
 
-def assert_caught(machine, examples=300):
+def assert_violation(machine, examples=300):
     """Assert that a faulty variant violates an invariant."""
     try:
         run(machine, examples)
--- a/tests/steps/coordination_adoption.py
+++ b/tests/steps/coordination_adoption.py
@@ -23,7 +23,7 @@
     return rows.ConfigRecord(version, DOCUMENT, 'ana', f'c{version}', digest)
 
 
-class AppliesAll(adoption.ConfigAdoption):
+class AppliesEveryText(adoption.ConfigAdoption):
     """Faulty variant that applies every received text."""
 
     def _receive(self, received):
@@ -31,7 +31,7 @@
         return [adoption.Adopt(received, None)]
 
 
-class ReadyWithAny(adoption.ConfigAdoption):
+class AlwaysReady(adoption.ConfigAdoption):
     """Faulty variant that reports ready without a text."""
 
     def not_ready_reason(self):
@@ -54,11 +54,11 @@
         self.at_peer = dict.fromkeys(PEERS, 1)
         self.messages = []
         self.highest = 0
-        self.highest_heard = 0
+        self.highest_known = 0
 
-    def _tell(self, event):
+    def _handle(self, event):
         if isinstance(event, adoption.PeerVersionReceived):
-            self.highest_heard = max(self.highest_heard, event.version)
+            self.highest_known = max(self.highest_known, event.version)
         for action in self.adoption.handle(event, self.now_ms):
             match action:
                 case adoption.PollStore():
@@ -72,7 +72,7 @@
                     assert adopted.version >= self.highest, (
                         'the version in force decreased'
                     )
-                    assert adopted.version >= self.highest_heard, (
+                    assert adopted.version >= self.highest_known, (
                         'a text older than a known version was applied'
                     )
                     self.highest = adopted.version
@@ -81,33 +81,33 @@
         self.messages.append(adoption.RecordReceived(record(version)))
 
     @stateful.rule()
-    def somebody_accepts(self):
+    def operator_accepts(self):
         self.accepted += 1
 
     @stateful.rule(peer=strategies.sampled_from(PEERS))
-    def peer_adopts_and_tells(self, peer):
+    def peer_adopts_and_reports(self, peer):
         self.at_peer[peer] = self.accepted
-        heard = adoption.PeerVersionReceived(peer, self.accepted)
-        self.messages.append(heard)
+        report = adoption.PeerVersionReceived(peer, self.accepted)
+        self.messages.append(report)
 
     @stateful.rule(step_ms=strategies.sampled_from((100, 2_000, 4_000)))
     def time_passes(self, step_ms):
         self.now_ms += step_ms
-        self._tell(adoption.Tick())
+        self._handle(adoption.Tick())
 
     @stateful.rule(
         index=strategies.integers(0, 9),
-        fate=strategies.sampled_from(('arrives', 'repeats', 'is lost')),
+        delivery=strategies.sampled_from(('arrives', 'repeats', 'is lost')),
     )
-    def message(self, index, fate):
+    def message(self, index, delivery):
         if not self.messages:
             return
         index %= len(self.messages)
         event = self.messages[index]
-        if fate != 'repeats':
+        if delivery != 'repeats':
             del self.messages[index]
-        if fate != 'is lost':
-            self._tell(event)
+        if delivery != 'is lost':
+            self._handle(event)
 
     @stateful.invariant()
     def ready_only_with_a_text(self):
@@ -119,42 +119,42 @@
         for _ in range(9):
             self.time_passes(5_000)
             while self.messages:
-                self._tell(self.messages.pop(0))
+                self._handle(self.messages.pop(0))
         assert self.adoption.version == self.accepted, 'did not converge'
 
 
-def adopters(adoption_class):
+def make_machine(adoption_class):
     return type('Machine', (Network,), {'adoption_class': adoption_class})
 
 
 @behave.given('a VM that receives texts from the store and its peers')
 def given_vm(context):
-    context.machine = adopters(adoption.ConfigAdoption)
+    context.machine = make_machine(adoption.ConfigAdoption)
 
 
 @behave.given('a VM that applies every received text')
-def given_applies_all(context):
-    context.machine = adopters(AppliesAll)
+def given_applies_every_text(context):
+    context.machine = make_machine(AppliesEveryText)
 
 
 @behave.given('a VM that always reports ready')
-def given_ready_with_any(context):
-    context.machine = adopters(ReadyWithAny)
+def given_always_ready(context):
+    context.machine = make_machine(AlwaysReady)
 
 
 @behave.then(
     'its version in force never decreases and converges to the newest'
 )
-def never_falls(context):
+def never_decreases(context):
     state_machines.run(context.machine)
 
 
 @behave.then('the check on adoption fails')
 def adoption_check_fails(context):
-    state_machines.assert_caught(context.machine)
+    state_machines.assert_violation(context.machine)
 
 
-def tell(context, event, after_ms=0.0):
+def handle(context, event, after_ms=0.0):
     context.now_ms += after_ms
     context.actions = context.adoption.handle(event, context.now_ms)
 
@@ -163,8 +163,8 @@
 def given_store_down(context):
     context.now_ms = 0.0
     context.adoption = adoption.ConfigAdoption(random.Random(1))
-    tell(context, adoption.Tick())
-    tell(context, adoption.StoreFailed())
+    handle(context, adoption.Tick())
+    handle(context, adoption.StoreFailed())
 
 
 @behave.then(
@@ -176,23 +176,23 @@
 
 
 @behave.when('a peer reports version {version:d}')
-def peer_tells(context, version):
-    tell(context, adoption.PeerVersionReceived('p', version))
+def peer_reports(context, version):
+    handle(context, adoption.PeerVersionReceived('p', version))
 
 
 @behave.when('another peer reports version {version:d}')
-def other_tells(context, version):
-    tell(context, adoption.PeerVersionReceived('q', version))
+def other_peer_reports(context, version):
+    handle(context, adoption.PeerVersionReceived('q', version))
 
 
 @behave.then('it requests the text from that peer')
-def asks_peer(context):
+def requests_from_peer(context):
     assert context.actions == [adoption.FetchFromPeer('p')], context.actions
 
 
 @behave.when('that text arrives')
 def text_arrives(context):
-    tell(context, adoption.RecordReceived(record(4)))
+    handle(context, adoption.RecordReceived(record(4)))
 
 
 @behave.then('it is ready with version {version:d}')
@@ -204,7 +204,7 @@
 @behave.when('a text arrives whose digest does not match')
 def corrupt_arrives(context):
     broken = rows.ConfigRecord(4, DOCUMENT + ' ', 'ana', 'c4', 'wrong')
-    tell(context, adoption.RecordReceived(broken))
+    handle(context, adoption.RecordReceived(broken))
 
 
 @behave.then('it is not ready and has counted {count:d} corrupt text')
@@ -215,19 +215,19 @@
 
 @behave.when('the peer does not answer for {silent_ms:d} ms')
 def peer_silent(context, silent_ms):
-    tell(context, adoption.Tick(), silent_ms)
+    handle(context, adoption.Tick(), silent_ms)
 
 
 @behave.then(
     'it requests the text from the peer again, as the store has failed'
 )
-def asks_again(context):
+def requests_again(context):
     fetches = [a for a in context.actions if isinstance(a, FETCH)]
     assert fetches == [adoption.FetchFromPeer('p')], context.actions
 
 
 @behave.then('the other peer is listed as outdated')
-def other_behind(context):
+def other_is_outdated(context):
     assert context.adoption.outdated_peers() == {'q': 3}, (
         context.adoption.outdated_peers()
     )
--- a/tests/steps/coordination_config.py
+++ b/tests/steps/coordination_config.py
@@ -13,10 +13,10 @@
 from tests.coordination import state_machines
 
 OPERATORS = strategies.integers(0, 2)
-FATES = ('answered', 'lost', 'late', 'down')
+FAULTS = ('answered', 'lost', 'late', 'down')
 
 
-class TrustsAbsence(config.Acceptance):
+class TreatsAbsenceAsRefusal(config.Acceptance):
     """Faulty variant that treats an absent row as a failed write."""
 
     def _resolve_outcome(self, record):
@@ -58,36 +58,36 @@
 
     @stateful.rule(
         operator=OPERATORS,
-        fate=strategies.sampled_from(FATES),
+        fault=strategies.sampled_from(FAULTS),
     )
-    def step(self, operator, fate):
+    def step(self, operator, fault):
         if operator not in self.running:
             self._begin(operator)
         acceptance, action = self.running[operator]
-        event = self._perform(acceptance.change, action, fate)
+        event = self._perform(acceptance.change, action, fault)
         action = acceptance.handle(event)
         self.running[operator][1] = action
         if isinstance(action, config.Finish):
             self.outcomes[acceptance.change] = action.outcome
             del self.running[operator]
 
-    def _perform(self, change, action, fate):
+    def _perform(self, change, action, fault):
         lost = config.WriteFailed(exceptions.UnknownOutcomeError('l', 'r'))
         if isinstance(action, config.WriteConfig):
             write = (change, action.conditions, action.writes)
-            if fate == 'late':
+            if fault == 'late':
                 self.late.append(write)
                 return lost
-            if fate == 'down':
+            if fault == 'down':
                 return lost
             event = config_store._write(self.table, *write)
-            return lost if fate == 'lost' else event
-        if fate == 'down':
+            return lost if fault == 'lost' else event
+        if fault == 'down':
             return config.ReadFailed(exceptions.UnknownOutcomeError('l', 'r'))
         return config_store._perform(self.table, change, action)
 
     @stateful.rule()
-    def late_write_lands(self):
+    def late_write_commits(self):
         if self.late:
             self.table.transact(*self.late.pop(0))
 
@@ -99,7 +99,7 @@
         return current.version if current else 0
 
     @stateful.invariant()
-    def version_never_falls(self):
+    def version_never_decreases(self):
         version = self._version()
         assert version >= self.highest, 'the version decreased'
         self.highest = version
@@ -114,8 +114,8 @@
         for change, outcome in self.outcomes.items():
             match outcome:
                 case config.Accepted(version):
-                    stands = changes[version - 1 : version]
-                    assert stands == [change], 'a text was lost'
+                    recorded = changes[version - 1 : version]
+                    assert recorded == [change], 'a text was lost'
                 case exceptions.ConfigConflictError():
                     assert change not in changes, 'a refused text is recorded'
 
@@ -132,8 +132,8 @@
 
 
 @behave.given('operators who treat an absent row as a refusal')
-def given_trusting(context):
-    context.machine = _machine(TrustsAbsence)
+def given_absence_as_refusal(context):
+    context.machine = _machine(TreatsAbsenceAsRefusal)
 
 
 @behave.given('operators who write without a condition')
@@ -148,7 +148,7 @@
 
 @behave.then('the check on accepted texts fails')
 def check_fails(context):
-    state_machines.assert_caught(context.machine)
+    state_machines.assert_violation(context.machine)
 
 
 @behave.given('a table that loses the answer to the next acceptance')
@@ -198,7 +198,7 @@
 @behave.then(
     'the acceptance fails with a conflict with version {version:d} by "{name}"'
 )
-def told_conflict(context, version, name):
+def fails_with_conflict(context, version, name):
     error = context.answer.err_value
     assert isinstance(error, exceptions.ConfigConflictError), error
     assert f'version {version} by {name}' in error.message, error
@@ -227,5 +227,5 @@
 
 
 @behave.then('the service "{name}" is reported as affected')
-def concerns(context, name):
+def affects(context, name):
     assert text_diff.changed_services(context.changes) == (name,)
--- a/tests/steps/coordination_digest.py
+++ b/tests/steps/coordination_digest.py
@@ -53,14 +53,14 @@
 
 
 @behave.when('one VM fails')
-def one_dies(context):
-    context.dead = context.vms.pop(7)
+def one_fails(context):
+    context.failed_vm = context.vms.pop(7)
 
 
 @behave.then('only the upstreams of that VM get a new observer')
 def others_stay(context):
     for name, vms in observers(context).items():
-        if context.dead not in context.before[name]:
+        if context.failed_vm not in context.before[name]:
             assert vms == context.before[name], name
 
 
@@ -107,7 +107,7 @@
     'each digest of {budget:d} bytes takes {most:d} entries and all entries'
     ' are sent in turn'
 )
-def exchanges_take(context, budget, most):
+def digests_take(context, budget, most):
     seen = set()
     for step in range(context.count // most):
         for key in range(context.count):
@@ -119,14 +119,14 @@
 
 
 @behave.given('a queue whose 1 entry has been sent')
-def given_told(context):
+def given_sent_entry(context):
     context.queue = delta_queue.DeltaQueue(28, 1_000.0)
     context.queue.offer('a', 1)
     assert context.queue.take(100, 0.0) == [1]
 
 
 @behave.then('it is sent again after the refresh interval and not before')
-def told_again(context):
+def sent_again(context):
     context.queue.offer('a', 1)
     assert context.queue.take(100, 999.0) == []
     assert context.queue.take(100, 1_000.0) == [1]
@@ -166,22 +166,22 @@
 def given_demand(context, account):
     context.digest = digest.Digest('zone')
     context.digest.update_dispatch_state({}, {account: 2.5})
-    told = context.digest.take(1_000, 0.0).demands
-    assert [d.milli_requests_per_second for d in told] == [2_500]
+    sent = context.digest.take(1_000, 0.0).demands
+    assert [d.milli_requests_per_second for d in sent] == [2_500]
 
 
 @behave.when('its demand has ended')
 def demand_ended(context):
-    context.told = []
+    context.sent = []
     for step in range(1, 5):
         context.digest.update_dispatch_state({}, {})
-        context.told += context.digest.take(1_000, step * 250.0).demands
+        context.sent += context.digest.take(1_000, step * 250.0).demands
 
 
 @behave.then('zero is sent once and then nothing')
-def zero_told(context):
-    told = [entry.milli_requests_per_second for entry in context.told]
-    assert told == [0], told
+def zero_sent(context):
+    sent = [entry.milli_requests_per_second for entry in context.sent]
+    assert sent == [0], sent
 
 
 @behave.then('the zone\'s sum for "{service}" has 1 upstream and none leaving')
@@ -192,12 +192,12 @@
 
 
 @behave.when('"{name}" reports that it is leaving')
-def says_it_leaves(context, name):
+def reports_leaving(context, name):
     context.digest.record_own_load(load(context.key, 300, leaving=True), 2.0)
 
 
 @behave.then('the zone\'s sum for "{service}" lists the upstream as leaving')
-def names_leaver(context, service):
+def lists_leaving(context, service):
     (total,) = context.digest.zone_loads(3.0)
     assert total.leaving == (context.key,), total
 
@@ -205,8 +205,10 @@
 @behave.given('an upstream that "{vm}" cannot reach')
 def given_unreachable(context, vm):
     context.reachability = reachability.Reachability()
-    told = [context.reachability.record_poll('e1', False) for _ in range(3)]
-    assert told == [True, True, False], told
+    reachable = [
+        context.reachability.record_poll('e1', False) for _ in range(3)
+    ]
+    assert reachable == [True, True, False], reachable
     context.reachable = context.reachability.record_report(
         'e1', vm, False, 0.0
     )
@@ -218,7 +220,7 @@
 
 
 @behave.when('"{vm}" reports that it can reach the upstream')
-def reaches(context, vm):
+def reports_reachable(context, vm):
     context.reachable = context.reachability.record_report('e1', vm, True, 1.0)
 
 
@@ -246,9 +248,10 @@
 
 
 @behave.then(
-    'each VM is linked to its zone and each gateway also to {far:d} remote VMs'
+    'each VM is linked to its zone and each gateway also to {remote:d}'
+    ' remote VMs'
 )
-def links_are(context, far):
+def links_are(context, remote):
     names = [e.vm for e in context.entries if e.availability_zone == 'z0']
     counts = []
     for vm in names:
@@ -262,7 +265,7 @@
         planned = links.plan_links(known)
         assert sorted(planned.zone_peers) == sorted(set(names) - {vm})
         counts.append(len(planned.remote_gateways))
-    assert sorted(counts) == [0, 0, far, far], counts
+    assert sorted(counts) == [0, 0, remote, remote], counts
 
 
 @behave.given(
@@ -280,7 +283,7 @@
 
 
 @behave.then('applying the change to the old list gives the new list')
-def knows_list(context):
+def change_reproduces_list(context):
     change = vm_list.difference(context.before, context.after)
     assert len(change.entries) == 2 and change.removed == ('c',), change
     assert vm_list.apply(context.before, change) == context.after
--- a/tests/steps/coordination_lease.py
+++ b/tests/steps/coordination_lease.py
@@ -13,21 +13,21 @@
 STEPS_MS = strategies.sampled_from((50, 1_500, 6_600, 8_100))
 
 
-class FromAnswer(leases.Lease):
+class MeasuresFromAnswer(leases.Lease):
     """Faulty variant that measures the lease from the write's answer."""
 
     def _hold(self, record, sent_ms, now_ms):
         return super()._hold(record, now_ms, now_ms)
 
 
-class Impatient(leases.Lease):
+class TakesOverEarly(leases.Lease):
     """Faulty variant that takes over before the lease has expired."""
 
     def _takeover_ms(self):
         return super()._takeover_ms() - 0.9 * leases.DURATION_MS
 
 
-class SameEpoch(leases.Lease):
+class KeepsEpoch(leases.Lease):
     """Faulty variant that takes over without incrementing the epoch."""
 
     def _write(self, record, takes_over, now_ms):
@@ -70,72 +70,72 @@
         self.now_ms = 0.0
         self.row = Row()
         self.leases = {vm: make(vm, self.lease_class) for vm in VMS}
-        self.asked = {}
+        self.requests = {}
         self.late = []
         self.holders = {}
         self.epoch = 0
 
-    def _tell(self, vm, event):
+    def _handle(self, vm, event):
         for action in self.leases[vm].handle(event, self.now_ms):
             match action:
                 case messages.ReadRow() | messages.WriteRow():
-                    self.asked[vm] = action
+                    self.requests[vm] = action
                 case messages.Gained(epoch):
                     holder = self.holders.setdefault(epoch, vm)
                     assert holder == vm, f'two holders of epoch {epoch}'
-        self.one_may_order()
+        self.at_most_one_holder()
 
     def _serve(self, vm):
-        while vm in self.asked:
-            self._tell(vm, self.row.perform(self.asked.pop(vm)))
+        while vm in self.requests:
+            self._handle(vm, self.row.perform(self.requests.pop(vm)))
 
     @stateful.rule(vm=VM, step_ms=STEPS_MS)
     def runs(self, vm, step_ms):
         self.now_ms += step_ms
         self._serve(vm)
-        self._tell(vm, messages.Tick())
+        self._handle(vm, messages.Tick())
         self._serve(vm)
 
     @stateful.rule(vm=VM, other=VM, seconds=strategies.integers(1, 10))
     def answer_is_slow(self, vm, other, seconds):
-        self._tell(vm, messages.Tick())
-        if vm == other or vm not in self.asked:
+        self._handle(vm, messages.Tick())
+        if vm == other or vm not in self.requests:
             return
-        answer = self.row.perform(self.asked.pop(vm))
+        answer = self.row.perform(self.requests.pop(vm))
         for _ in range(seconds):
             self.runs(other, 1_000)
-        self._tell(vm, answer)
+        self._handle(vm, answer)
 
-    @stateful.rule(vm=VM, fate=strategies.sampled_from(('took', 'late', '')))
-    def answer_is_lost(self, vm, fate):
-        self._tell(vm, messages.Tick())
-        if vm not in self.asked:
+    @stateful.rule(vm=VM, fault=strategies.sampled_from(('took', 'late', '')))
+    def answer_is_lost(self, vm, fault):
+        self._handle(vm, messages.Tick())
+        if vm not in self.requests:
             return
-        action = self.asked.pop(vm)
-        if fate == 'took':
+        action = self.requests.pop(vm)
+        if fault == 'took':
             self.row.perform(action)
-        if fate == 'late':
+        if fault == 'late':
             self.late.append(action)
         wrote = isinstance(action, messages.WriteRow)
         failed = messages.WriteFailed if wrote else messages.ReadFailed
-        self._tell(vm, failed())
+        self._handle(vm, failed())
 
     @stateful.rule()
-    def late_write_lands(self):
+    def late_write_commits(self):
         if self.late:
             self.row.perform(self.late.pop(0))
 
     @stateful.invariant()
-    def one_may_order(self):
-        able = [
+    def at_most_one_holder(self):
+        holders = [
             vm
             for vm, lease in self.leases.items()
             if lease.is_valid(self.now_ms)
         ]
-        assert len(able) <= 1, f'{able} hold the lease at the same time'
+        assert len(holders) <= 1, f'{holders} hold the lease at the same time'
 
     @stateful.invariant()
-    def epoch_never_falls(self):
+    def epoch_never_decreases(self):
         epoch = self.row.record.epoch if self.row.record else 0
         assert epoch >= self.epoch, 'the epoch decreased'
         self.epoch = epoch
@@ -152,27 +152,27 @@
 
 @behave.given('VMs that measure a lease from the answer to its write')
 def given_from_answer(context):
-    context.machine = machine(FromAnswer)
+    context.machine = machine(MeasuresFromAnswer)
 
 
 @behave.given('VMs that take over before the lease has expired')
-def given_impatient(context):
-    context.machine = machine(Impatient)
+def given_early_takeover(context):
+    context.machine = machine(TakesOverEarly)
 
 
 @behave.given('VMs that do not increment the epoch when they take over')
 def given_same_epoch(context):
-    context.machine = machine(SameEpoch)
+    context.machine = machine(KeepsEpoch)
 
 
 @behave.then('at most one of them may give orders at any time')
-def one_orders(context):
+def at_most_one_orders(context):
     state_machines.run(context.machine, 200)
 
 
 @behave.then('the check on leases fails')
 def lease_check_fails(context):
-    state_machines.assert_caught(context.machine)
+    state_machines.assert_violation(context.machine)
 
 
 def step(context, name, event):
--- a/tests/steps/coordination_membership.py
+++ b/tests/steps/coordination_membership.py
@@ -17,7 +17,7 @@
 LIVE = membership.PeerState.LIVE
 
 
-class Forgetful(membership.Membership):
+class ConsidersLastHeartbeatOnly(membership.Membership):
     """Faulty variant that considers only the last heartbeat."""
 
     def _on_heartbeat(self, event, now_ms):
@@ -28,7 +28,7 @@
         peer.detector.record_heartbeat(now_ms)
 
 
-class Gossip(stateful.RuleBasedStateMachine):
+class HeartbeatDelivery(stateful.RuleBasedStateMachine):
     """One VM receives heartbeats of two others that leave and restart.
 
     Heartbeats are reordered, duplicated or lost.
@@ -40,11 +40,11 @@
         super().__init__()
         self.membership = self.membership_class('a', 'zone')
         self.now_ms = 0.0
-        self.runs = {'b': 1, 'c': 1}
+        self.run_numbers = {'b': 1, 'c': 1}
         self.leaving = {'b': False, 'c': False}
         self.sequence = 0
         self.messages = []
-        self.told_leaving = set()
+        self.reported_leaving = set()
         self.newest = {'b': 0, 'c': 0}
 
     @stateful.rule(vm=strategies.sampled_from('bc'))
@@ -53,8 +53,8 @@
         self.messages.append(
             membership_messages.HeartbeatReceived(
                 vm,
-                f'{vm}{self.runs[vm]}',
-                self.runs[vm],
+                f'{vm}{self.run_numbers[vm]}',
+                self.run_numbers[vm],
                 self.sequence,
                 self.leaving[vm],
             )
@@ -67,29 +67,29 @@
 
     @stateful.rule(vm=strategies.sampled_from('bc'))
     def is_replaced(self, vm):
-        self.runs[vm] += 1
+        self.run_numbers[vm] += 1
         self.leaving[vm] = False
         self.heartbeat(vm)
 
     @stateful.rule(
         index=strategies.integers(0, 9),
-        fate=strategies.sampled_from(('arrives', 'repeats', 'is lost')),
+        delivery=strategies.sampled_from(('arrives', 'repeats', 'is lost')),
     )
-    def message(self, index, fate):
+    def message(self, index, delivery):
         if not self.messages:
             return
         index %= len(self.messages)
         event = self.messages[index]
-        if fate != 'repeats':
+        if delivery != 'repeats':
             del self.messages[index]
-        if fate == 'is lost':
+        if delivery == 'is lost':
             return
         self.membership.handle(event, self.now_ms)
         if event.started_ms < self.newest[event.vm]:
             return
         self.newest[event.vm] = event.started_ms
         if event.leaving:
-            self.told_leaving.add(event.incarnation)
+            self.reported_leaving.add(event.incarnation)
 
     @stateful.rule(step_ms=strategies.sampled_from((100, 900)))
     def time_passes(self, step_ms):
@@ -102,32 +102,34 @@
             assert peer.started_ms >= self.newest[vm], (
                 'a replaced incarnation returned'
             )
-            if peer.incarnation in self.told_leaving:
+            if peer.incarnation in self.reported_leaving:
                 assert peer.state is not LIVE, 'a leaving peer became live'
 
 
 @behave.given('VMs that receive heartbeats in any order')
-def given_gossip(context):
-    context.machine = Gossip
+def given_delivery(context):
+    context.machine = HeartbeatDelivery
 
 
 @behave.given('VMs that consider only the last heartbeat')
-def given_forgetful(context):
+def given_last_heartbeat_only(context):
     context.machine = type(
-        'Machine', (Gossip,), {'membership_class': Forgetful}
+        'Machine',
+        (HeartbeatDelivery,),
+        {'membership_class': ConsidersLastHeartbeatOnly},
     )
 
 
 @behave.then(
     'no leaving peer becomes live again and no replaced incarnation returns'
 )
-def leavers_stay(context):
+def leaving_is_final(context):
     state_machines.run(context.machine)
 
 
 @behave.then('the check on membership fails')
 def membership_check_fails(context):
-    state_machines.assert_caught(context.machine)
+    state_machines.assert_violation(context.machine)
 
 
 def heartbeat(context, vm, incarnation=None, leaving=False, unheard=()):
@@ -145,12 +147,12 @@
     )
 
 
-def run(context, duration_ms, speakers, unheard=()):
+def run(context, duration_ms, senders, unheard=()):
     end_ms = context.now_ms + duration_ms
     while context.now_ms < end_ms:
         context.now_ms += 1_000
         context.membership.handle(membership_messages.Tick(), context.now_ms)
-        for vm in speakers:
+        for vm in senders:
             heartbeat(context, vm, unheard=unheard)
     context.membership.handle(membership_messages.Tick(), context.now_ms)
 
@@ -165,12 +167,12 @@
 
 
 @behave.when('"{vm}" is silent for {silent_ms:d} ms')
-def falls_silent(context, vm, silent_ms):
+def is_silent(context, vm, silent_ms):
     run(context, silent_ms, set('bc') - {vm})
 
 
 @behave.when('"{vm}" also reports "{other}" as silent')
-def misses_too(context, vm, other):
+def reports_silent(context, vm, other):
     context.unheard = (other,)
 
 
@@ -188,18 +190,18 @@
 
 
 @behave.then('"a" considers "{vm}" gone')
-def counts_gone(context, vm):
+def considers_gone(context, vm):
     assert context.membership.in_state(GONE) == [vm]
     assert context.membership.is_gone(vm, f'{vm}1') is True
 
 
-@behave.when('"a" is paused for {still_ms:d} ms')
-def stands_still(context, still_ms):
-    context.now_ms += still_ms
+@behave.when('"a" is paused for {paused_ms:d} ms')
+def is_paused(context, paused_ms):
+    context.now_ms += paused_ms
 
 
 @behave.then('"a" suspects no peer')
-def suspects_nobody(context):
+def suspects_no_peer(context):
     context.membership.handle(membership_messages.Tick(), context.now_ms)
     assert context.membership.live_peers() == ['b', 'c']
 
@@ -208,7 +210,7 @@
     'heartbeats every {gap_ms:d} ms and heartbeats at random gaps of'
     ' {low_ms:d} to {high_ms:d} ms'
 )
-def given_two_rhythms(context, gap_ms, low_ms, high_ms):
+def given_regular_and_jittery(context, gap_ms, low_ms, high_ms):
     generator = random.Random(3)
     context.regular = failure_detector.PhiAccrualDetector(gap_ms)
     context.jittery = failure_detector.PhiAccrualDetector(gap_ms)
@@ -232,14 +234,14 @@
 
 
 @behave.when('"{vm}" leaves and returns as another incarnation')
-def comes_back(context, vm):
+def returns_as_another(context, vm):
     heartbeat(context, vm, leaving=True)
     assert context.membership.live_peers() == ['b']
     heartbeat(context, vm, f'{vm}2')
 
 
 @behave.then('"a" considers "{vm}" live and the earlier incarnation ended')
-def counts_live(context, vm):
+def considers_live(context, vm):
     assert vm in context.membership.live_peers()
     assert context.membership.is_gone(vm, f'{vm}1') is True
     assert context.membership.is_gone(vm, f'{vm}2') is False
@@ -261,7 +263,7 @@
 
 
 @behave.then('"a" considers "{dead}" only listed and "{new}" live')
-def knows(context, dead, new):
+def considers_listed_and_live(context, dead, new):
     listed = context.membership.in_state(membership.PeerState.LISTED)
     assert listed == [dead], listed
     assert new in context.membership.live_peers()
--- a/tests/steps/coordination_order_processes.py
+++ b/tests/steps/coordination_order_processes.py
@@ -48,7 +48,7 @@
     return msgspec.json.decode(answer.ok_value.body, type=kind)
 
 
-def _hold(context, version):
+def _all_hold(context, version):
     states = [
         _ask(address, '/orders/state', orders.EngineState)
         for address in context.engines.values()
@@ -102,49 +102,49 @@
 
 
 @behave.when('the services text specifies version "{version}"')
-def ask_for(context, version):
+def specify_version(context, version):
     _accept(context, version)
 
 
 @behave.then('both engines eventually hold version "{version}"')
-def come_to_hold(context, version):
-    deployment.wait_for(lambda: _hold(context, version))
+def eventually_hold(context, version):
+    deployment.wait_for(lambda: _all_hold(context, version))
 
 
 @behave.when(
     'the daemon that gives the orders is paused until its lease expires'
 )
-def stop_holder(context):
-    context.stopped = deployment.wait_for(lambda: _holder(context))
-    context.stopped.signal(signal.SIGSTOP)
-    deployment.wait_for(lambda: _holder(context, excluded=context.stopped))
+def pause_holder(context):
+    context.paused = deployment.wait_for(lambda: _holder(context))
+    context.paused.signal(signal.SIGSTOP)
+    deployment.wait_for(lambda: _holder(context, excluded=context.paused))
 
 
 @behave.when('the daemon that gave the orders resumes')
-def go_on(context):
-    context.stopped.signal(signal.SIGCONT)
+def resume_holder(context):
+    context.paused.signal(signal.SIGCONT)
 
 
 @behave.then(
     'neither engine accepted an order of an earlier holder after one of a'
     ' later holder'
 )
-def in_order_of_epochs(context):
+def accepted_in_order_of_epochs(context):
     for service, address in context.engines.items():
-        obeyed = [
-            taken['order']['fencing']
-            for taken in _taken(address)
-            if taken['accepted']
+        accepted = [
+            order['order']['fencing']
+            for order in _order_history(address)
+            if order['accepted']
         ]
-        assert obeyed == sorted(obeyed), (service, obeyed)
-        assert len(set(obeyed)) > 1, (service, obeyed)
+        assert accepted == sorted(accepted), (service, accepted)
+        assert len(set(accepted)) > 1, (service, accepted)
 
 
 @behave.then('the audit trail records each accepted order')
-def audited(context):
+def audit_records_orders(context):
     table = context.deployment.platform.table
 
-    def told():
+    def recorded():
         return [
             row.value['summary']
             for row in table.list_rows(rows.AUDIT_TABLE).ok_value
@@ -152,9 +152,11 @@
             and row.value['summary'].endswith('taken')
         ]
 
-    count = sum(len(_taken(address)) for address in context.engines.values())
-    deployment.wait_for(lambda: len(told()) >= count)
+    count = sum(
+        len(_order_history(address)) for address in context.engines.values()
+    )
+    deployment.wait_for(lambda: len(recorded()) >= count)
 
 
-def _taken(address):
+def _order_history(address):
     return _ask(address, '/control/history', dict)['orders']
--- a/tests/steps/coordination_orders.py
+++ b/tests/steps/coordination_orders.py
@@ -28,14 +28,14 @@
 
 @behave.when('version "{version}" is in force')
 def adopt(context, version, **extra):
-    context.services_text = fleets.services_text_of(version, **extra)
+    context.services_text = fleets.make_services_text(version, **extra)
     context.fleet.adopt(context.services_text)
 
 
 @behave.when('the lease holder orders version "{version}"')
 def adopt_and_gain(context, version, **extra):
     adopt(context, version, **extra)
-    context.fleet.gain(1)
+    context.fleet.gain_lease(1)
 
 
 @behave.when('the lease holder orders "{version}" at {loads:d} loads a minute')
@@ -69,7 +69,7 @@
 
 @behave.when('an engine refuses the fencing number')
 def refuse(context):
-    context.fleet.tell(messages.OrderAnswered(ids.UpstreamId('e0'), True))
+    context.fleet.handle(messages.OrderAnswered(ids.UpstreamId('e0'), True))
 
 
 @behave.then('no order was sent to the engines')
@@ -92,9 +92,7 @@
 
 @behave.then('at most {count:d} engines were updated at a time')
 def at_most(context, count):
-    assert 1 <= context.fleet.most_changing <= count, (
-        context.fleet.most_changing
-    )
+    assert 1 <= context.fleet.max_changing <= count, context.fleet.max_changing
 
 
 @behave.then('no minute has more than {count:d} weight loads')
@@ -123,10 +121,10 @@
 def _random_history(generator):
     size = generator.randint(1, 12)
     fleet = fleets.Fleet(size, '1')
-    text = fleets.services_text_of('2')
+    text = fleets.make_services_text('2')
     fleet.adopt(text)
-    fleet.gain(1)
-    spare = max(1, size // 4)
+    fleet.gain_lease(1)
+    max_unavailable = max(1, size // 4)
     for number in range(2, 12):
         fleet.run(generator.randint(1, 40))
         match generator.choice(['restart', 'takeover', 'text']):
@@ -138,9 +136,12 @@
                 fleet.replace_planner(text, number)
             case 'text':
                 version = generator.choice(['1', '2', '3'])
-                text = fleets.services_text_of(version)
+                text = fleets.make_services_text(version)
                 fleet.adopt(text)
     fleet.run(600)
-    assert fleet.most_changing <= spare, (fleet.most_changing, spare)
+    assert fleet.max_changing <= max_unavailable, (
+        fleet.max_changing,
+        max_unavailable,
+    )
     target = text.services[0].model.version
     assert set(fleet.version.values()) == {target}, fleet.version
--- a/tests/steps/coordination_peer_link.py
+++ b/tests/steps/coordination_peer_link.py
@@ -12,12 +12,12 @@
 from tests.coordination import silent_relay
 
 SECRET = b'0123456789abcdef' * 2
-LIMIT_S = 30.0
+TIMEOUT_S = 30.0
 
 
 def wait_for(condition):
-    until = time.monotonic() + LIMIT_S
-    while time.monotonic() < until:
+    deadline = time.monotonic() + TIMEOUT_S
+    while time.monotonic() < deadline:
         if condition():
             return
         time.sleep(0.01)
@@ -34,8 +34,8 @@
     link = peer_link.PeerLink(
         '127.0.0.1:0', codec(vm), clocks.MonotonicClock()
     )
-    link.heard = []
-    link.on_message(messages.Heartbeat, link.heard.append)
+    link.received = []
+    link.on_message(messages.Heartbeat, link.received.append)
     link.on_query(
         messages.OwnerQuery,
         lambda vm, query: messages.OwnerReply(f'{vm} asked {query.nonce}'),
@@ -53,11 +53,11 @@
     context.b.connect('a', context.a.address)
     wait_for(lambda: context.a.send('b', messages.Heartbeat(0)))
     wait_for(lambda: context.b.send('a', messages.Heartbeat(0)))
-    wait_for(lambda: context.a.heard and context.b.heard)
+    wait_for(lambda: context.a.received and context.b.received)
 
 
 def versions(link):
-    return [(e.vm, e.message.config_version) for e in link.heard]
+    return [(e.vm, e.message.config_version) for e in link.received]
 
 
 @behave.when('"a" sends "b" a heartbeat of version {version:d}')
@@ -66,7 +66,7 @@
 
 
 @behave.then('"b" receives version {version:d} from "a"')
-def hears(context, version):
+def receives(context, version):
     wait_for(lambda: ('a', version) in versions(context.b))
 
 
@@ -77,7 +77,7 @@
 
 
 @behave.then('a query to "c" fails because no answer was received')
-def question_fails(context):
+def query_fails(context):
     answer = context.a.request('c', messages.OwnerQuery('i', 'n'), 50)
     assert 'no answer from c' in answer.err_value.message
 
@@ -86,7 +86,7 @@
     '"b" is sent an unsigned, a replayed, an altered and a misdirected message'
 )
 def sends_bad(context):
-    context.heard_before = len(context.b.heard)
+    context.received_before = len(context.b.received)
     sender = codec('x')
     good = sender.encode(messages.Heartbeat(9))
     foreign = sender.encode(messages.Heartbeat(9), 'somebody-else')
@@ -107,16 +107,16 @@
         'misdirected': 1,
         'malformed': 1,
     }, rejected
-    assert len(context.b.heard) == context.heard_before + 1
+    assert len(context.b.received) == context.received_before + 1
 
 
 @behave.when('"a" sends {count:d} heartbeats to a peer that does not read')
-def sends_to_mute(context, count):
-    mute = socket.create_server(('127.0.0.1', 0))
-    context.add_cleanup(mute.close)
-    context.a.connect('mute', '127.0.0.1:%d' % mute.getsockname()[1])
+def sends_to_blocked_peer(context, count):
+    blocked = socket.create_server(('127.0.0.1', 0))
+    context.add_cleanup(blocked.close)
+    context.a.connect('blocked', '127.0.0.1:%d' % blocked.getsockname()[1])
     for _ in range(count):
-        context.a.send('mute', messages.Heartbeat(1))
+        context.a.send('blocked', messages.Heartbeat(1))
 
 
 @behave.then('"a" has not blocked and has counted drops')
@@ -125,26 +125,26 @@
 
 
 @behave.given('"a" is connected to "b" through a relay')
-def given_intermediary(context):
+def given_relay(context):
     context.relay = silent_relay.SilentRelay(context.b.address)
     context.add_cleanup(context.relay.close)
     context.a.connect('b', context.relay.address)
     wait_for(lambda: context.a.send('b', messages.Heartbeat(100)))
-    hears(context, 100)
+    receives(context, 100)
 
 
 @behave.when('the relay stops forwarding on the open connection')
-def loses_track(context):
+def relay_stops(context):
     context.relay.silence()
 
 
 @behave.then('"b" receives from "a" again over a new connection')
-def hears_again(context):
-    def heard():
+def receives_again(context):
+    def received():
         context.a.send('b', messages.Heartbeat(101))
         return ('a', 101) in versions(context.b)
 
-    wait_for(heard)
+    wait_for(received)
     assert context.relay.accepted == 2, context.relay.accepted
 
 
@@ -153,15 +153,20 @@
     ' key "{new}"'
 )
 def keys_rotate(context, old, new):
-    one, two = (key.encode() * 16 for key in (old, new))
-    steps = ((one,), (one, two), (two, one), (two,))
+    old_key, new_key = (key.encode() * 16 for key in (old, new))
+    steps = (
+        (old_key,),
+        (old_key, new_key),
+        (new_key, old_key),
+        (new_key,),
+    )
     # VMs restart one by one, so VMs of adjacent steps run side by side.
     for earlier, later in zip(steps, steps[1:], strict=False):
         for signer, reader in ((earlier, later), (later, earlier)):
             sent = codec('x', secrets=signer).encode(messages.Heartbeat(1))
             assert codec('y', secrets=reader).decode(sent, 0.0).is_ok()
-    context.stale = codec('x', secrets=[one]).encode(messages.Heartbeat(1))
-    context.rotated = codec('y', secrets=[two])
+    context.stale = codec('x', secrets=[old_key]).encode(messages.Heartbeat(1))
+    context.rotated = codec('y', secrets=[new_key])
 
 
 @behave.then('after the last step messages signed with "old" are dropped')
--- a/tests/steps/coordination_processes.py
+++ b/tests/steps/coordination_processes.py
@@ -59,21 +59,23 @@
 @behave.then(
     'each text is accepted once or refused, and all daemons converge to one'
 )
-def each_is_settled(context):
+def all_converge(context):
     table = context.deployment.platform.table
     history = config_store.read_history(table).ok_value
-    stands = [record.change for record in history]
-    assert len(stands) == len(set(stands)), stands
-    assert [r.version for r in history] == list(range(1, len(stands) + 1))
+    changes = [record.change for record in history]
+    assert len(changes) == len(set(changes)), changes
+    assert [r.version for r in history] == list(range(1, len(changes) + 1))
     for change, answer in context.answers.items():
         if answer.is_ok():
-            assert stands[answer.ok_value.version - 1] == change
+            assert changes[answer.ok_value.version - 1] == change
         else:
             error = answer.err_value
             assert isinstance(error, exceptions.ConfigConflictError), error
-            assert change not in stands, change
-    deployment.wait_for(lambda: at_version(context, ('v0', 'v1'), len(stands)))
-    context.version = len(stands)
+            assert change not in changes, change
+    deployment.wait_for(
+        lambda: at_version(context, ('v0', 'v1'), len(changes))
+    )
+    context.version = len(changes)
 
 
 @behave.when(
@@ -87,14 +89,14 @@
 
 
 @behave.then('"{vm}" is ready with the text of a peer')
-def ready_by_peers(context, vm):
+def ready_with_peer_text(context, vm):
     daemon = context.deployment.daemons[vm]
     deployment.wait_for(daemon.is_ready)
     assert daemon.version() == context.version
 
 
 @behave.when('the daemon "{vm}" starts and knows no peer')
-def starts_alone(context, vm):
+def starts_without_peers(context, vm):
     context.deployment.add(vm)
     context.deployment.start(vm)
 
@@ -103,7 +105,7 @@
     '"{vm}" is not ready because neither the store nor a peer has provided'
     ' the text'
 )
-def says_not_ready(context, vm):
+def is_not_ready(context, vm):
     daemon = context.deployment.daemons[vm]
     status = deployment.wait_for(daemon.status)
     assert status['config_version'] == 0, status
@@ -111,7 +113,7 @@
 
 
 @behave.when('the store recovers and another text is accepted')
-def store_is_back(context):
+def store_recovers(context):
     context.deployment.control('POST', '/control', {'outage': 'none'})
     context.version = context.deployment.accept('after the outage')
 
@@ -126,7 +128,7 @@
 @behave.given(
     'a daemon "{vm}" in zone "{zone}" that accesses the store through a relay'
 )
-def given_far(context, vm, zone):
+def given_daemon_behind_relay(context, vm, zone):
     address = context.deployment.url.removeprefix('http://')
     context.relay = silent_relay.SilentRelay(address)
     context.add_cleanup(context.relay.close)
@@ -138,14 +140,14 @@
 
 
 @behave.when('the relay fails and another text is accepted')
-def intermediary_fails(context):
+def relay_fails(context):
     context.relay.silence()
     context.relay.close()
     context.version = context.deployment.accept('while cut off')
 
 
 @behave.then('"{vm}" is ready and reports that its store has failed')
-def says_failed(context, vm):
+def reports_store_failed(context, vm):
     daemon = context.deployment.daemons[vm]
     deployment.wait_for(lambda: daemon.status()['config_store_failed'])
     assert daemon.is_ready()
@@ -160,7 +162,7 @@
 
 
 @behave.when('the holder of the lease is paused until its lease expires')
-def holder_stopped(context):
+def holder_paused(context):
     context.former, context.epoch = deployment.wait_for(
         lambda: holder(context)
     )
@@ -182,12 +184,12 @@
 
 
 @behave.when('the paused daemon resumes')
-def runs_again(context):
+def resumes(context):
     context.former.signal(signal.SIGCONT)
 
 
 @behave.then('it logs the loss of the lease and the other daemon holds it')
-def has_lost(context):
+def has_lost_lease(context):
     deployment.wait_for(
         lambda: 'event=lease_lost' in context.deployment.log(context.former.vm)
     )
@@ -203,7 +205,7 @@
 
 
 @behave.when('"{vm}" is killed and replaced by a daemon of the same name')
-def killed_and_replaced(context, vm):
+def is_killed_and_replaced(context, vm):
     daemon = context.deployment.daemons[vm]
     daemon.signal(signal.SIGKILL)
     daemon.process.wait()
@@ -213,7 +215,7 @@
 
 
 @behave.then('"{vm}" considers the new incarnation of "{other}" live')
-def knows_new(context, vm, other):
+def considers_live(context, vm, other):
     daemon = context.deployment.daemons[other]
     deployment.wait_for(daemon.is_ready)
     incarnation = daemon.status()['incarnation']
@@ -226,10 +228,10 @@
 
 
 @behave.then('the audit trail records a change of "{vm}"')
-def audit_tells(context, vm):
+def audit_records_change(context, vm):
     table = context.deployment.platform.table
 
-    def told():
+    def recorded():
         listed = table.list_rows(rows.AUDIT_TABLE).ok_value
         return any(
             row.value['kind'] == rows.AuditKind.VM.value
@@ -237,16 +239,16 @@
             for row in listed
         )
 
-    deployment.wait_for(told)
+    deployment.wait_for(recorded)
 
 
 @behave.when('the list of VMs marks the daemon "{vm}" as leaving')
-def list_says_leave(context, vm):
+def list_marks_leaving(context, vm):
     context.deployment.list_vms('v0', 'v1', leaving=vm)
 
 
 @behave.then('"{vm}" considers "{other}" leaving before its process has ended')
-def knows_leaving(context, vm, other):
+def considers_leaving(context, vm, other):
     process = context.deployment.daemons[other].process
 
     def leaving():
@@ -254,4 +256,4 @@
         return peer(context, vm, other)['state'] == 'leaving' and alive
 
     deployment.wait_for(leaving)
-    assert process.wait(deployment.LIMIT_S) == 0
+    assert process.wait(deployment.TIMEOUT_S) == 0
--- a/tests/steps/coordination_upstream_membership.py
+++ b/tests/steps/coordination_upstream_membership.py
@@ -35,18 +35,18 @@
 @behave.when(
     'a delayed message reports that the earlier "{upstream}" is leaving'
 )
-def says_leaving(context, upstream):
-    heard = upstreams.LeavingReported(upstream, '127.0.0.1:1')
-    context.membership.handle(heard)
+def reports_leaving(context, upstream):
+    event = upstreams.LeavingReported(upstream, '127.0.0.1:1')
+    context.membership.handle(event)
 
 
 @behave.when('the platform\'s list reports that "{upstream}" is leaving')
-def list_says_leaving(context, upstream):
+def list_reports_leaving(context, upstream):
     read_list(context, upstream, state=LEAVING)
 
 
 @behave.when('the list still shows "{upstream}" as live')
-def list_says_live(context, upstream):
+def list_shows_live(context, upstream):
     read_list(context, upstream)
 
 
--- a/tests/steps/daemon.py
+++ b/tests/steps/daemon.py
@@ -26,7 +26,7 @@
 @behave.then('it ends with exit code {code:d}')
 def ends(context, code):
     process = context.deployment.daemons['v0'].process
-    assert process.wait(deployment.LIMIT_S) == code
+    assert process.wait(deployment.TIMEOUT_S) == code
 
 
 @behave.then('its log names the part "{part}" and a remedy')
--- a/tests/steps/reporting_daemon.py
+++ b/tests/steps/reporting_daemon.py
@@ -136,7 +136,7 @@
     assert served == {'shop-assistant', 'desk-app'}, served
     context.status = run(context, 'status', '--json')
     context.daemon.signal(signal.SIGTERM)
-    assert context.daemon.process.wait(deployment.LIMIT_S) == 0
+    assert context.daemon.process.wait(deployment.TIMEOUT_S) == 0
 
 
 @behave.then('the report counts all requests and misses no interval')
