--- a/benchmarks/coordination/control_cost.py
+++ b/benchmarks/coordination/control_cost.py
@@ -1,8 +1,8 @@
-"""What the control of one VM costs: slopes over peers and upstreams.
+"""Cost of the control traffic of one VM over peers and upstreams.
 
-A real daemon runs against the stand-in of the platform, beside simulated
-peers that send it as much as real ones would, and upstreams that answer
-its polls. All bytes of the daemon pass a counting relay or are counted by
+A real daemon runs against the stand-in of the platform, with simulated
+peers that send as much as real ones would and upstreams that answer its
+polls. All traffic of the daemon passes a counting relay or is counted by
 its peer link.
 
 Run with ``python -m benchmarks.coordination.control_cost``; it writes
@@ -40,24 +40,25 @@
 WARM_UP_S = 8.0
 MEASURE_S = 20.0
 GRID = ((8, 100), (16, 100), (32, 100), (64, 100), (16, 10), (16, 450))
-# Targets of the capacity plan, for one VM's control.
+# Limits of the capacity plan for the control cost of one VM.
 MAX_CPU_SHARE = 0.012
 MAX_BYTES_PER_S = 15_000.0
 MAX_MEMORY_BYTES = 256 * 1024 * 1024
-# The target's zone: 400 VMs and 4,000 servers in 9 zones.
+# Size of one zone of the target deployment, which has 400 VMs and 4,000
+# servers in 9 zones.
 TARGET_PEERS = 44
 TARGET_UPSTREAMS = 445
 
 
 @dataclasses.dataclass(frozen=True)
 class Cost:
-    """What one VM's control cost.
+    """Measured control cost of one VM.
 
     Attributes:
         cpu_share: Processor time as a share of one core.
         peer_messages_per_s: Messages to and from peers.
-        peer_bytes_per_s: Bytes of them, both ways.
-        http_bytes_per_s: Bytes to and from platform and upstreams.
+        peer_bytes_per_s: Bytes to and from peers.
+        http_bytes_per_s: Bytes to and from the platform and upstreams.
     """
 
     peers: int
@@ -70,12 +71,12 @@
 
 
 class _LoadHandler(http.server.BaseHTTPRequestHandler):
-    """Answers as an upstream would, always with new figures."""
+    """Answers polls like an upstream, with values that always change."""
 
     protocol_version = 'HTTP/1.1'
 
     def do_GET(self):
-        """Answer a question for load or cache events."""
+        """Answer a poll for load or cache events."""
         if self.path.startswith('/load'):
             now_ms = int(time.monotonic() * 1_000)
             answer = {
@@ -98,11 +99,11 @@
         self.wfile.write(body)
 
     def log_message(self, *arguments):
-        """Log nothing."""
+        """Suppress the request log."""
 
 
 class SimulatedPeers:
-    """Simulated peers: each sends what a real one would."""
+    """Peers that each send as much as a real one would."""
 
     def __init__(self, count: int, keys: dict[str, int]) -> None:
         self.count = count
@@ -117,7 +118,7 @@
         self.threads = []
 
     def start(self, subject: str) -> None:
-        """Begin to send to the daemon that is measured."""
+        """Start to send to the measured daemon."""
         self.threads = [
             threading.Thread(target=self._send, args=(subject,)),
             threading.Thread(target=self._discard_received),
@@ -126,7 +127,7 @@
             thread.start()
 
     def stop(self) -> None:
-        """Send no more."""
+        """Stop sending."""
         self.stopped.set()
         for thread in self.threads:
             thread.join()
@@ -168,7 +169,7 @@
         budget = max(membership_part.MIN_DIGEST_BYTES, share)
         observed = self.observed_keys[self.names[number]]
         count = int(budget * digest.LOAD_SHARE // digest.LOAD_BYTES)
-        # Each in its turn, as under a budget.
+        # Entries are sent in turn, as a real peer does within its budget.
         observed.rotate(count)
         loads = [
             messages.LoadEntry(key, at_ms, 200_000, 400_000, 30, 3, 9)
@@ -184,7 +185,7 @@
 
 
 class LeaseHolder:
-    """Holds the region's lease, so that the daemon only watches it."""
+    """Holds the region's lease so that the daemon only watches it."""
 
     def __init__(self, table: base.Table) -> None:
         self.table = table
@@ -196,7 +197,7 @@
         self.thread.start()
 
     def renew(self) -> None:
-        """Write the row once more."""
+        """Renew the lease by writing its row."""
         self.renewals += 1
         record = rows.LeaseRecord(1, 'peer-00', 'peer-00-i', self.renewals)
         condition = base.Condition(rows.LEASE_TABLE, 'r', self.version)
@@ -209,13 +210,13 @@
             self.renew()
 
     def stop(self) -> None:
-        """Renew no more."""
+        """Stop renewing."""
         self.stopped.set()
         self.thread.join()
 
 
 def measure(peers: int, upstreams: int) -> Cost:
-    """Return what the control of a VM with so many peers costs."""
+    """Measure the control cost of a VM with this many peers and upstreams."""
     server = http.server.ThreadingHTTPServer(('127.0.0.1', 0), _LoadHandler)
     server.daemon_threads = True
     threading.Thread(target=server.serve_forever, daemon=True).start()
@@ -329,7 +330,7 @@
 
 
 def slope(points: list[tuple[float, float]]) -> tuple[float, float]:
-    """Return slope and intercept of the least-squares line."""
+    """Return the slope and intercept of the least-squares line."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
@@ -342,7 +343,7 @@
 def main(
     quick: typing.Annotated[bool, typer.Option()] = False,
 ) -> None:
-    """Measure the grid, print it, and write it for the capacity page."""
+    """Measure all grid points, print them and write the results file."""
     grid = GRID[:1] if quick else GRID
     print('peers upstreams  cpu%  memory MB  msg/s  peer B/s  http B/s')
     costs = []
--- a/benchmarks/coordination/counting_relay.py
+++ b/benchmarks/coordination/counting_relay.py
@@ -1,4 +1,4 @@
-"""TCP relay that counts the bytes that it passes."""
+"""TCP relay that counts the forwarded bytes."""
 
 import socket
 import threading
@@ -9,14 +9,14 @@
 
 
 class CountingRelay:
-    """Passes bytes between callers and one target.
+    """Forwards bytes between clients and one target.
 
     Args:
         target: ``IP:port`` of the target.
 
     Attributes:
-        address: Where it listens.
-        bytes: How many bytes it has passed, both ways together.
+        address: Address on which the relay listens.
+        byte_count: Number of bytes forwarded in both directions.
     """
 
     def __init__(self, target: str) -> None:
@@ -29,7 +29,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def close(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         self.listener.close()
 
     def _accept(self) -> None:
--- a/benchmarks/coordination/in_force.py
+++ b/benchmarks/coordination/in_force.py
@@ -1,7 +1,7 @@
 """Time from the acceptance of a text until it is in force on every VM.
 
-Real daemons in three zones on loopback; the times come from their logs
-and the clock of the one machine that runs them all.
+Real daemons of three zones run on loopback. Adoption times are taken from
+their logs; all processes share the clock of one machine.
 
 Run with ``python -m benchmarks.coordination.in_force --daemons 8``.
 """
@@ -31,7 +31,7 @@
 def adoption_times(
     cluster: deployment.Deployment, vm: str
 ) -> dict[int, float]:
-    """Return when a daemon adopted each version, in seconds since 1970."""
+    """Return the adoption time of each version in seconds since 1970."""
     times = {}
     for match in _ADOPTED.finditer(cluster.log(vm)):
         moment = datetime.datetime.fromisoformat(match['time'])
@@ -66,7 +66,7 @@
         for name in names:
             times = adoption_times(cluster, name)
             for version, at_s in accepted.items():
-                # A text may be superseded before a VM has seen it.
+                # A VM may skip a text that was superseded early.
                 later = [t for v, t in times.items() if v >= version]
                 delays.append(max(0.0, min(later) - at_s))
         return delays
@@ -78,7 +78,7 @@
     daemons: typing.Annotated[int, typer.Option()] = 8,
     texts: typing.Annotated[int, typer.Option()] = 10,
 ) -> None:
-    """Print the median and the most of the time until in force."""
+    """Print the median and maximum time until a text is in force."""
     delays = measure(daemons, texts)
     print(
         f'{daemons} daemons, {texts} texts: p50'
--- a/benchmarks/coordination/suspicion.py
+++ b/benchmarks/coordination/suspicion.py
@@ -1,8 +1,8 @@
-"""Failure detection: time to suspect against false suspicions.
+"""Failure detection: detection time and rate of false suspicions.
 
-Drives the adaptive detector and fixed limits with the same simulated
-heartbeats under jitter and loss. Each peer lives for a while, in which a
-suspicion is a false one, and then dies.
+Compares the adaptive detector with fixed timeouts on the same simulated
+heartbeats under jitter and loss. Each peer is alive for a fixed time,
+during which any suspicion is false, and then dies.
 
 Run with ``python -m benchmarks.coordination.suspicion --seed 1``.
 """
@@ -23,16 +23,16 @@
 CHECK_MS = 100.0
 LIFETIME_MS = 600_000.0
 MAX_SILENCE_MS = 60_000.0
-# Work at a VM that has died must be moved within seconds.
+# Work at a dead VM must be moved within seconds.
 MAX_DETECTION_MS = 13_000.0
 
 
 @dataclasses.dataclass(frozen=True)
 class LinkConditions:
-    """What a link does to heartbeats.
+    """Delay and loss of heartbeats on a link.
 
     Attributes:
-        jitter_ms: Mean of an exponential delay.
+        jitter_ms: Mean of the exponentially distributed delay.
         loss: Share of heartbeats that are lost.
     """
 
@@ -51,18 +51,18 @@
 
 
 class FixedTimeout:
-    """Suspects after a fixed silence."""
+    """Failure detector with a fixed timeout."""
 
     def __init__(self, timeout_ms: float) -> None:
         self.timeout_ms = timeout_ms
         self.last_ms = 0.0
 
     def record_heartbeat(self, now_ms: float) -> None:
-        """Take in a heartbeat."""
+        """Record the arrival of a heartbeat."""
         self.last_ms = now_ms
 
     def is_suspect(self, now_ms: float) -> bool:
-        """Return whether the silence is longer than the limit."""
+        """Return whether the silence exceeds the timeout."""
         return now_ms - self.last_ms > self.timeout_ms
 
 
@@ -76,7 +76,7 @@
 def heartbeat_arrivals(
     conditions: LinkConditions, generator: random.Random
 ) -> list[float]:
-    """Return when the heartbeats of one life arrive, in order."""
+    """Return the sorted arrival times of one peer's heartbeats."""
     times = []
     sent_ms = 0.0
     while sent_ms < LIFETIME_MS:
@@ -88,7 +88,7 @@
 
 
 def simulate_life(detector, times: list[float]) -> tuple[int, float]:
-    """Return the false suspicions of a life and the time to the true one."""
+    """Return the number of false suspicions and the detection time."""
     false_suspicions = 0
     suspected = False
     now_ms = times[0]
@@ -111,7 +111,7 @@
     seed: typing.Annotated[int, typer.Option()] = 1,
     lives: typing.Annotated[int, typer.Option()] = 50,
 ) -> None:
-    """Print detection time and false suspicions by conditions."""
+    """Print detection times and false suspicions by link conditions."""
     hours = lives * LIFETIME_MS / 3_600_000
     print(f'seed {seed}, {lives} lives of 600 s, heartbeats each 1000 ms')
     print('conditions               detector   false/peer-hour  p50 s  max s')
@@ -133,7 +133,10 @@
             if name == 'adaptive':
                 worst = max(worst, detection[-1] * 1_000)
     if worst > MAX_DETECTION_MS:
-        print(f'{worst} ms to suspect a dead peer are too many')
+        print(
+            f'a dead peer was suspected after {worst} ms;'
+            f' the limit is {MAX_DETECTION_MS} ms'
+        )
         sys.exit(1)
 
 
--- a/benchmarks/coordination/takeover.py
+++ b/benchmarks/coordination/takeover.py
@@ -1,10 +1,10 @@
-"""Takeover of a lapsed lease: delays compared by writes and time.
+"""Takeover of an expired lease: write conflicts and time by delay policy.
 
-Drives the pure lease of many watchers against one row with simulated
-latencies. The holder dies; counted are the conditional writes that the
-watchers spend until one holds the lease, and the time that it takes.
-Compared are no delay, a random one, and one by rank, with ranks given
-anew to the survivors once the dead are detected.
+Runs the lease state machine of many watchers against one row with
+simulated latencies. The holder dies; measured are the conditional writes
+of the watchers until one holds the lease, and the time that this takes.
+The policies are no delay, a random delay, and a delay by rank, with ranks
+reassigned to the survivors once the failures are detected.
 
 Run with ``python -m benchmarks.coordination.takeover --seed 1``.
 
@@ -34,14 +34,14 @@
 JITTER_MS = 2_000.0
 # Twice the time between a watcher's read and the commit of its write.
 RANK_STEP_MS = 250.0
-# A zone's failure detector has noticed the dead after this time.
+# Time after which the zone's failure detectors have found dead VMs.
 DETECTION_MS = 5_000.0
-# The platform bears several hundred writes a second.
+# The platform can handle several hundred writes per second.
 MAX_CONFLICTS_PER_TAKEOVER = 100.0
 
 
 class RandomDelay(leases.Lease):
-    """Waits a random time, drawn once for each row that it sees."""
+    """Waits a random time, drawn once per observed row version."""
 
     def _takeover_ms(self) -> float:
         generator = random.Random(f'{self.vm} {self.row_version}')
@@ -49,7 +49,7 @@
 
 
 class RankDelay(leases.Lease):
-    """Waits longer the later its rank."""
+    """Waits in proportion to its rank."""
 
     def _takeover_ms(self) -> float:
         return super()._takeover_ms() + self.rank * RANK_STEP_MS
@@ -67,10 +67,11 @@
     """Conditions of a takeover.
 
     Attributes:
-        min_latency_ms: Least time of a read or write, one way.
-        max_latency_ms: Most time, one way.
-        failed_rank_share: How many of the first ranks died with the holder.
-        loss: Share of answers that never come.
+        min_latency_ms: Minimum one-way latency of a read or write.
+        max_latency_ms: Maximum one-way latency of a read or write.
+        failed_rank_share: Share of the VMs, those of the lowest ranks,
+            that die with the holder.
+        loss: Share of answers that are lost.
     """
 
     name: str
@@ -90,7 +91,7 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """What one takeover cost."""
+    """Time and writes of one takeover."""
 
     takeover_ms: float = MAX_TAKEOVER_MS
     writes: int = 0
@@ -119,9 +120,9 @@
         ]
 
     def run(self) -> Outcome:
-        """Return what the takeover cost after the holder has died."""
+        """Simulate the death of the holder and return the outcome."""
         for index in range(self.contenders):
-            # The holder is the first; the others start after it.
+            # The first VM becomes the holder, as the others start later.
             at_ms = self.generator.uniform(0, TICK_MS) + (500 if index else 0)
             self._schedule(at_ms, self._tick, index)
         failure_ms = WARM_UP_MS + self.generator.uniform(0, 4_000)
@@ -208,14 +209,14 @@
 def simulate(
     scenario: Scenario, contenders: int, name: str, trials: int, seed: int
 ) -> list[Outcome]:
-    """Return the outcomes of some takeovers.
+    """Return the outcomes of repeated takeovers.
 
     Args:
         scenario: Conditions of the takeovers.
-        contenders: How many VMs watch the lease, the holder included.
-        name: Delay to use.
-        trials: How many takeovers.
-        seed: Seed of all random choices.
+        contenders: Number of VMs that watch the lease, with the holder.
+        name: Name of the delay policy.
+        trials: Number of takeovers.
+        seed: Seed of the first simulation; each further one adds 1.
     """
     return [
         Simulation(scenario, contenders, name, seed + trial).run()
@@ -227,7 +228,7 @@
     seed: typing.Annotated[int, typer.Option()] = 1,
     trials: typing.Annotated[int, typer.Option()] = 100,
 ) -> None:
-    """Print conflicts and takeover time by delay and contenders."""
+    """Print conflicts and takeover times by delay and contenders."""
     print(f'seed {seed}, {trials} takeovers each')
     print('scenario   contenders delay    conflicts/takeover  p50 s  max s')
     worst = 0.0
@@ -247,7 +248,10 @@
                     flush=True,
                 )
     if worst > MAX_CONFLICTS_PER_TAKEOVER:
-        print(f'{worst} conflicting writes a takeover are too many')
+        print(
+            f'{worst} conflicting writes per takeover;'
+            f' the limit is {MAX_CONFLICTS_PER_TAKEOVER}'
+        )
         sys.exit(1)
 
 
