--- a/eelgrassknot/coordination/digest.py
+++ b/eelgrassknot/coordination/digest.py
@@ -171,13 +171,13 @@
         """Return the load sums of this zone by service, for other zones."""
         sums: dict[ids.ServiceName, list[int]] = {}
         leaving: dict[ids.ServiceName, list[int]] = {}
-        for key, (entry, heard_ms) in self.loads.items():
+        for key, (entry, received_ms) in self.loads.items():
             info = self.upstreams[key]
             if info.availability_zone != self.availability_zone:
                 continue
             if entry.leaving:
                 leaving.setdefault(info.service, []).append(key)
-            if now_ms - heard_ms > SUM_MAX_AGE_MS:
+            if now_ms - received_ms > SUM_MAX_AGE_MS:
                 continue
             figures = (
                 1,
--- a/eelgrassknot/coordination/digest_part.py
+++ b/eelgrassknot/coordination/digest_part.py
@@ -219,14 +219,14 @@
     def _receive_zone_loads(
         self, vm: ids.VmId, loads: tuple[messages.ZoneLoad, ...]
     ) -> None:
-        foreign = [
+        remote_loads = [
             load for load in loads if load.availability_zone != self.zone
         ]
         if vm not in self.members:
             # Sent by another zone's gateway; forward it to this zone.
             with self.lock:
-                self.digest.forward_zone_loads(foreign)
-        for load in foreign:
+                self.digest.forward_zone_loads(remote_loads)
+        for load in remote_loads:
             self._report_zone_load(load)
 
     def _report_zone_load(self, load: messages.ZoneLoad) -> None:
@@ -265,9 +265,9 @@
     def _on_entry_vms_changed(
         self, event: membership_part.EntryVmsChanged
     ) -> None:
-        gone = set(self.members) - set(event.members)
+        removed = set(self.members) - set(event.members)
         self.members = event.members
-        for vm in gone:
+        for vm in removed:
             for key in self.in_flight_keys.pop(vm, ()):
                 info = self._find_upstream(key)
                 if info is not None:
--- a/eelgrassknot/coordination/links.py
+++ b/eelgrassknot/coordination/links.py
@@ -80,12 +80,12 @@
             others[candidate.availability_zone][peer] = candidate.address
     if vm not in rendezvous.ranked(_GATEWAY_KEY, members, GATEWAYS):
         return Links(zone, {})
-    far = {
+    remote = {
         peer: addresses[peer]
         for addresses in others.values()
         for peer in rendezvous.ranked(_GATEWAY_KEY, addresses, GATEWAYS)
     }
-    return Links(zone, far)
+    return Links(zone, remote)
 
 
 def plan_links(membership: memberships.Membership) -> Links:
--- a/eelgrassknot/coordination/membership.py
+++ b/eelgrassknot/coordination/membership.py
@@ -131,7 +131,7 @@
         ]
         return sorted([*peers, self.vm])
 
-    def unheard(self) -> list[ids.VmId]:
+    def silent_peers(self) -> list[ids.VmId]:
         """Return the zone peers whose heartbeats have stopped."""
         silent = (PeerState.SUSPECTED, PeerState.GONE)
         return sorted(
--- a/eelgrassknot/coordination/membership_part.py
+++ b/eelgrassknot/coordination/membership_part.py
@@ -151,8 +151,8 @@
                 f'{vm} cannot be reached', 'retry later', False
             )
             return result.Err(error)
-        left_ms = until_ms - self.node.clock.now_ms()
-        return self.link.request(vm, query, max(1.0, left_ms))
+        remaining_ms = until_ms - self.node.clock.now_ms()
+        return self.link.request(vm, query, max(1.0, remaining_ms))
 
     def send(
         self, vm: ids.VmId, message: messages.Message, timeout_ms: float
@@ -298,7 +298,7 @@
             else _EMPTY_PAYLOAD
         )
         with self.lock:
-            unheard = tuple(self.membership.unheard())
+            unheard = tuple(self.membership.silent_peers())
         heartbeat = messages.Heartbeat(
             self.node.text_version,
             self.node.state is states.DaemonState.DRAINING,
--- a/eelgrassknot/coordination/order_planner.py
+++ b/eelgrassknot/coordination/order_planner.py
@@ -116,9 +116,9 @@
             for upstream in upstreams
             if upstream.state is states.UpstreamState.LIVE
         }
-        for gone in self.engine_states.keys() - self.upstreams.keys():
-            del self.engine_states[gone]
-            self.pending.pop(gone, None)
+        for removed in self.engine_states.keys() - self.upstreams.keys():
+            del self.engine_states[removed]
+            self.pending.pop(removed, None)
 
     def _on_order_answered(
         self, upstream: ids.UpstreamId, stale: bool
@@ -157,7 +157,7 @@
             service = self.text.service(name)
             if service.model is None:
                 continue
-            if not all(self._available(n) for n in service.depends_on):
+            if not all(self._is_available(n) for n in service.depends_on):
                 continue
             actions += self._plan_service(service, now_ms)
         return actions
@@ -173,12 +173,12 @@
         if self.saved_records.get(service.service) != record:
             self.saved_records[service.service] = record
             actions.append(messages.SaveRollout(record, self.fencing))
-        continued = [
+        in_progress = [
             upstream
             for upstream, state in progress.items()
             if state is rollout.EngineProgress.CHANGING
         ]
-        for upstream in continued + plan.engines_to_change():
+        for upstream in in_progress + plan.engines_to_change():
             actions += self._next_order(service, upstream, now_ms)
         return actions
 
@@ -252,7 +252,7 @@
             if upstream.service == service
         )
 
-    def _available(self, name: ids.ServiceName) -> bool:
+    def _is_available(self, name: ids.ServiceName) -> bool:
         service = self.text.service(name)
         members = self._members(name)
         if service.model is None:
--- a/tests/steps/coordination_membership.py
+++ b/tests/steps/coordination_membership.py
@@ -185,7 +185,7 @@
 def suspects(context, vm):
     suspected = context.membership.in_state(membership.PeerState.SUSPECTED)
     assert suspected == [vm], suspected
-    assert context.membership.unheard() == [vm]
+    assert context.membership.silent_peers() == [vm]
     assert context.membership.is_gone(vm, f'{vm}1') is None
 
 
