--- a/eelgrassknot/coordination/vm_audit_part.py
+++ b/eelgrassknot/coordination/vm_audit_part.py
@@ -127,7 +127,7 @@
         answer = self.node.platform.table.transact(
             change, [held.condition], writes
         )
-        # Writing a row twice is harmless, as the key is the same.
+        # Writing a row twice is harmless: key and value are the same.
         if answer.is_ok():
             with self.lock:
                 for entry in pending:
