--- a/benchmarks/coordination/__init__.py
+++ b/benchmarks/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the coordination between VMs."""
+"""Benchmarks of the coordination between VMs."""
--- a/benchmarks/coordination/in_force.py
+++ b/benchmarks/coordination/in_force.py
@@ -40,7 +40,7 @@
 
 
 def measure(daemons: int, texts: int) -> list[float]:
-    """Return the seconds until each text was in force on each VM."""
+    """Return the delays in seconds until each text was in force per VM."""
     cluster = deployment.Deployment()
     try:
         names = [f'v{number}' for number in range(daemons)]
--- a/benchmarks/coordination/takeover.py
+++ b/benchmarks/coordination/takeover.py
@@ -32,7 +32,7 @@
 MAX_TAKEOVER_MS = 60_000.0
 CONTENDERS = (3, 8, 44, 400)
 JITTER_MS = 2_000.0
-# Twice the time between a watcher's read and the commit of its write.
+# Twice the delay between a watcher's read and the commit of its write.
 RANK_STEP_MS = 250.0
 # Time after which the zone's failure detectors have found dead VMs.
 DETECTION_MS = 5_000.0
@@ -99,7 +99,7 @@
 
 
 class Simulation:
-    """One row and its watchers in simulated time."""
+    """Simulation of one lease row and its watchers."""
 
     def __init__(
         self, scenario: Scenario, contenders: int, name: str, seed: int
--- a/eelgrassknot/coordination/lease_part.py
+++ b/eelgrassknot/coordination/lease_part.py
@@ -87,7 +87,7 @@
         return lease.is_valid(self.node.clock.now_ms())
 
     def status(self) -> dict[str, object]:
-        """Return the lease as this VM knows it."""
+        """Return the lease as seen by this VM."""
         record = self.lease.record
         return {
             'lease': {
