--- a/benchmarks/coordination/counting_relay.py
+++ b/benchmarks/coordination/counting_relay.py
@@ -1,4 +1,4 @@
-"""TCP relay that counts the bytes that it passes."""
+"""TCP relay that counts the forwarded bytes."""
 
 import socket
 import threading
@@ -9,14 +9,14 @@
 
 
 class CountingRelay:
-    """Passes bytes between callers and one target.
+    """Forwards bytes between clients and one target.
 
     Args:
         target: ``IP:port`` of the target.
 
     Attributes:
-        address: Where it listens.
-        bytes: How many bytes it has passed, both ways together.
+        address: Address on which the relay listens.
+        byte_count: Number of bytes forwarded in both directions.
     """
 
     def __init__(self, target: str) -> None:
@@ -24,31 +24,31 @@
         self.target = (host, int(port))
         self.listener = socket.create_server(('127.0.0.1', 0), backlog=512)
         self.address = '127.0.0.1:%d' % self.listener.getsockname()[1]
-        self.bytes = 0
+        self.byte_count = 0
         self.lock = threading.Lock()
         threading.Thread(target=self._accept, daemon=True).start()
 
     def close(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         self.listener.close()
 
     def _accept(self) -> None:
         while True:
             try:
-                near, _ = self.listener.accept()
+                client, _ = self.listener.accept()
             except OSError:
                 return
-            far = socket.create_connection(self.target)
-            for ends in ((near, far), (far, near)):
+            server = socket.create_connection(self.target)
+            for ends in ((client, server), (server, client)):
                 threading.Thread(
-                    target=self._pass, args=ends, daemon=True
+                    target=self._forward, args=ends, daemon=True
                 ).start()
 
-    def _pass(self, source: socket.socket, sink: socket.socket) -> None:
+    def _forward(self, source: socket.socket, sink: socket.socket) -> None:
         try:
             while data := source.recv(CHUNK_BYTES):
                 with self.lock:
-                    self.bytes += len(data)
+                    self.byte_count += len(data)
                 sink.sendall(data)
             sink.shutdown(socket.SHUT_WR)
         except OSError:
--- a/benchmarks/coordination/in_force.py
+++ b/benchmarks/coordination/in_force.py
@@ -1,7 +1,7 @@
 """Time from the acceptance of a text until it is in force on every VM.
 
-Real daemons in three zones on loopback; the times come from their logs
-and the clock of the one machine that runs them all.
+Real daemons of three zones run on loopback. Adoption times are taken from
+their logs; all processes share the clock of one machine.
 
 Run with ``python -m benchmarks.coordination.in_force --daemons 8``.
 """
@@ -28,55 +28,57 @@
 )
 
 
-def adopted(placed: deployment.Deployment, vm: str) -> dict[int, float]:
-    """Return when a daemon adopted each version, in seconds since 1970."""
+def adoption_times(
+    cluster: deployment.Deployment, vm: str
+) -> dict[int, float]:
+    """Return the adoption time of each version in seconds since 1970."""
     times = {}
-    for match in _ADOPTED.finditer(placed.log(vm)):
+    for match in _ADOPTED.finditer(cluster.log(vm)):
         moment = datetime.datetime.fromisoformat(match['time'])
         times[int(match['version'])] = moment.timestamp()
     return times
 
 
 def measure(daemons: int, texts: int) -> list[float]:
-    """Return the seconds until each text was in force on each VM."""
-    placed = deployment.Deployment()
+    """Return the delays in seconds until each text was in force per VM."""
+    cluster = deployment.Deployment()
     try:
         names = [f'v{number}' for number in range(daemons)]
         for number, name in enumerate(names):
-            placed.add(name, ZONES[number % len(ZONES)])
-        placed.list_vms(*names)
-        placed.accept('first')
-        placed.start(*names)
+            cluster.add(name, ZONES[number % len(ZONES)])
+        cluster.list_vms(*names)
+        cluster.accept('first')
+        cluster.start(*names)
         deployment.wait_for(
-            lambda: all(d.is_ready() for d in placed.daemons.values()), 120
+            lambda: all(d.is_ready() for d in cluster.daemons.values()), 120
         )
         accepted = {}
         for number in range(texts):
-            version = placed.accept(f'text {number}')
+            version = cluster.accept(f'text {number}')
             accepted[version] = time.time()
             time.sleep(2.7)
         deployment.wait_for(
             lambda: all(
-                d.version() == version for d in placed.daemons.values()
+                d.version() == version for d in cluster.daemons.values()
             )
         )
         delays = []
         for name in names:
-            times = adopted(placed, name)
+            times = adoption_times(cluster, name)
             for version, at_s in accepted.items():
-                # A text may be superseded before a VM has seen it.
+                # A VM may skip a text that was superseded early.
                 later = [t for v, t in times.items() if v >= version]
                 delays.append(max(0.0, min(later) - at_s))
         return delays
     finally:
-        placed.close()
+        cluster.close()
 
 
 def main(
     daemons: typing.Annotated[int, typer.Option()] = 8,
     texts: typing.Annotated[int, typer.Option()] = 10,
 ) -> None:
-    """Print the median and the most of the time until in force."""
+    """Print the median and maximum time until a text is in force."""
     delays = measure(daemons, texts)
     print(
         f'{daemons} daemons, {texts} texts: p50'
--- a/benchmarks/coordination/takeover.py
+++ b/benchmarks/coordination/takeover.py
@@ -1,10 +1,10 @@
-"""Takeover of a lapsed lease: delays compared by writes and time.
+"""Takeover of an expired lease: write conflicts and time by delay policy.
 
-Drives the pure lease of many watchers against one row with simulated
-latencies. The holder dies; counted are the conditional writes that the
-watchers spend until one holds the lease, and the time that it takes.
-Compared are no delay, a random one, and one by rank, with ranks given
-anew to the survivors once the dead are detected.
+Runs the lease state machine of many watchers against one row with
+simulated latencies. The holder dies; measured are the conditional writes
+of the watchers until one holds the lease, and the time that this takes.
+The policies are no delay, a random delay, and a delay by rank, with ranks
+reassigned to the survivors once the failures are detected.
 
 Run with ``python -m benchmarks.coordination.takeover --seed 1``.
 
@@ -32,16 +32,16 @@
 MAX_TAKEOVER_MS = 60_000.0
 CONTENDERS = (3, 8, 44, 400)
 JITTER_MS = 2_000.0
-# Twice the time between a watcher's read and the commit of its write.
+# Twice the delay between a watcher's read and the commit of its write.
 RANK_STEP_MS = 250.0
-# A zone's failure detector has noticed the dead after this time.
+# Time after which the zone's failure detectors have found dead VMs.
 DETECTION_MS = 5_000.0
-# The platform bears several hundred writes a second.
+# The platform can handle several hundred writes per second.
 MAX_CONFLICTS_PER_TAKEOVER = 100.0
 
 
 class RandomDelay(leases.Lease):
-    """Waits a random time, drawn once for each row that it sees."""
+    """Waits a random time, drawn once per observed row version."""
 
     def _takeover_ms(self) -> float:
         generator = random.Random(f'{self.vm} {self.row_version}')
@@ -49,7 +49,7 @@
 
 
 class RankDelay(leases.Lease):
-    """Waits longer the later its rank."""
+    """Waits in proportion to its rank."""
 
     def _takeover_ms(self) -> float:
         return super()._takeover_ms() + self.rank * RANK_STEP_MS
@@ -67,30 +67,31 @@
     """Conditions of a takeover.
 
     Attributes:
-        low_ms: Least time of a read or write, one way.
-        high_ms: Most time, one way.
-        dead_ranks: How many of the first ranks died with the holder.
-        loss: Share of answers that never come.
+        min_latency_ms: Minimum one-way latency of a read or write.
+        max_latency_ms: Maximum one-way latency of a read or write.
+        failed_rank_share: Share of the VMs, those of the lowest ranks,
+            that die with the holder.
+        loss: Share of answers that are lost.
     """
 
     name: str
-    low_ms: float
-    high_ms: float
-    dead_ranks: float = 0.0
+    min_latency_ms: float
+    max_latency_ms: float
+    failed_rank_share: float = 0.0
     loss: float = 0.0
 
 
 SCENARIOS = (
     Scenario('fast', 1.0, 10.0),
     Scenario('slow', 50.0, 500.0),
-    Scenario('zone lost', 1.0, 10.0, dead_ranks=1 / 3),
+    Scenario('zone lost', 1.0, 10.0, failed_rank_share=1 / 3),
     Scenario('lossy', 1.0, 10.0, loss=0.1),
 )
 
 
 @dataclasses.dataclass
 class Outcome:
-    """What one takeover cost."""
+    """Time and writes of one takeover."""
 
     takeover_ms: float = MAX_TAKEOVER_MS
     writes: int = 0
@@ -98,7 +99,7 @@
 
 
 class Simulation:
-    """One row and its watchers in simulated time."""
+    """Simulation of one lease row and its watchers."""
 
     def __init__(
         self, scenario: Scenario, contenders: int, name: str, seed: int
@@ -107,11 +108,11 @@
         self.generator = random.Random(f'{seed} {contenders} {name}')
         self.contenders = contenders
         self.queue: list = []
-        self.count = 0
+        self.scheduled_count = 0
         self.record = None
         self.version: int | None = None
-        self.dead: set[int] = set()
-        self.died_ms: float | None = None
+        self.failed: set[int] = set()
+        self.failed_ms: float | None = None
         self.outcome = Outcome()
         self.ranks = list(range(contenders))
         self.leases = [
@@ -119,76 +120,78 @@
         ]
 
     def run(self) -> Outcome:
-        """Return what the takeover cost after the holder has died."""
+        """Simulate the death of the holder and return the outcome."""
         for index in range(self.contenders):
-            # The holder is the first; the others start after it.
+            # The first VM becomes the holder, as the others start later.
             at_ms = self.generator.uniform(0, TICK_MS) + (500 if index else 0)
-            self._at(at_ms, self._tick, index)
-        death_ms = WARM_UP_MS + self.generator.uniform(0, 4_000)
-        self._at(death_ms, self._die)
+            self._schedule(at_ms, self._tick, index)
+        failure_ms = WARM_UP_MS + self.generator.uniform(0, 4_000)
+        self._schedule(failure_ms, self._fail_holder)
         while self.queue:
             now_ms, _, function, arguments = heapq.heappop(self.queue)
             function(now_ms, *arguments)
             if self.outcome.takeover_ms < MAX_TAKEOVER_MS:
                 break
-            if now_ms > death_ms + MAX_TAKEOVER_MS:
+            if now_ms > failure_ms + MAX_TAKEOVER_MS:
                 break
         return self.outcome
 
-    def _at(self, at_ms: float, function, *arguments) -> None:
-        self.count += 1
-        heapq.heappush(self.queue, (at_ms, self.count, function, arguments))
+    def _schedule(self, at_ms: float, function, *arguments) -> None:
+        self.scheduled_count += 1
+        heapq.heappush(
+            self.queue, (at_ms, self.scheduled_count, function, arguments)
+        )
 
-    def _die(self, now_ms: float) -> None:
+    def _fail_holder(self, now_ms: float) -> None:
         holder = next(
             (i for i, lease in enumerate(self.leases) if lease.epoch), None
         )
         if holder is None:
-            self._at(now_ms + TICK_MS, self._die)
+            self._schedule(now_ms + TICK_MS, self._fail_holder)
             return
-        self.died_ms = now_ms
-        self.dead.add(holder)
+        self.failed_ms = now_ms
+        self.failed.add(holder)
         others = [i for i in range(self.contenders) if i != holder]
-        lost = int(len(others) * self.scenario.dead_ranks)
-        self.dead.update(others[:lost])
-        self._at(now_ms + DETECTION_MS, self._rank_anew)
+        failed_count = int(len(others) * self.scenario.failed_rank_share)
+        self.failed.update(others[:failed_count])
+        self._schedule(now_ms + DETECTION_MS, self._reassign_ranks)
 
-    def _rank_anew(self, now_ms: float) -> None:
-        alive = [i for i in range(self.contenders) if i not in self.dead]
+    def _reassign_ranks(self, now_ms: float) -> None:
+        alive = [i for i in range(self.contenders) if i not in self.failed]
         for rank, index in enumerate(alive):
             self.ranks[index] = rank
 
     def _tick(self, now_ms: float, index: int) -> None:
-        if index in self.dead:
+        if index in self.failed:
             return
-        self._tell(now_ms, index, messages.Tick(self.ranks[index]))
-        self._at(now_ms + TICK_MS, self._tick, index)
+        self._handle(now_ms, index, messages.Tick(self.ranks[index]))
+        self._schedule(now_ms + TICK_MS, self._tick, index)
 
-    def _tell(self, now_ms: float, index: int, event) -> None:
-        if index in self.dead:
+    def _handle(self, now_ms: float, index: int, event) -> None:
+        if index in self.failed:
             return
         for action in self.leases[index].handle(event, now_ms):
             match action:
                 case messages.ReadRow() | messages.WriteRow():
-                    self._at(
-                        now_ms + self._latency(), self._serve, index, action
+                    self._schedule(
+                        now_ms + self._latency(), self._answer, index, action
                     )
-                case messages.Gained() if self.died_ms is not None:
-                    self.outcome.takeover_ms = now_ms - self.died_ms
+                case messages.Gained() if self.failed_ms is not None:
+                    self.outcome.takeover_ms = now_ms - self.failed_ms
 
-    def _serve(self, now_ms: float, index: int, action) -> None:
+    def _answer(self, now_ms: float, index: int, action) -> None:
         answer = self._perform(action)
         if self.generator.random() < self.scenario.loss:
             wrote = isinstance(action, messages.WriteRow)
             failed = messages.WriteFailed if wrote else messages.ReadFailed
-            self._at(now_ms + 2_000, self._tell, index, failed())
+            self._schedule(now_ms + 2_000, self._handle, index, failed())
             return
-        self._at(now_ms + self._latency(), self._tell, index, answer)
+        self._schedule(now_ms + self._latency(), self._handle, index, answer)
 
     def _perform(self, action):
         if isinstance(action, messages.ReadRow):
             return messages.RowRead(self.record, self.version)
-        counted = self.died_ms is not None
+        counted = self.failed_ms is not None
         self.outcome.writes += counted
         if action.row_version != self.version:
             self.outcome.conflicts += counted
@@ -199,21 +202,21 @@
 
     def _latency(self) -> float:
         return self.generator.uniform(
-            self.scenario.low_ms, self.scenario.high_ms
+            self.scenario.min_latency_ms, self.scenario.max_latency_ms
         )
 
 
 def simulate(
     scenario: Scenario, contenders: int, name: str, trials: int, seed: int
 ) -> list[Outcome]:
-    """Return the outcomes of some takeovers.
+    """Return the outcomes of repeated takeovers.
 
     Args:
         scenario: Conditions of the takeovers.
-        contenders: How many VMs watch the lease, the holder included.
-        name: Delay to use.
-        trials: How many takeovers.
-        seed: Seed of all random choices.
+        contenders: Number of VMs that watch the lease, with the holder.
+        name: Name of the delay policy.
+        trials: Number of takeovers.
+        seed: Seed of the first simulation; each further one adds 1.
     """
     return [
         Simulation(scenario, contenders, name, seed + trial).run()
@@ -225,7 +228,7 @@
     seed: typing.Annotated[int, typer.Option()] = 1,
     trials: typing.Annotated[int, typer.Option()] = 100,
 ) -> None:
-    """Print conflicts and takeover time by delay and contenders."""
+    """Print conflicts and takeover times by delay and contenders."""
     print(f'seed {seed}, {trials} takeovers each')
     print('scenario   contenders delay    conflicts/takeover  p50 s  max s')
     worst = 0.0
@@ -245,7 +248,10 @@
                     flush=True,
                 )
     if worst > MAX_CONFLICTS_PER_TAKEOVER:
-        print(f'{worst} conflicting writes a takeover are too many')
+        print(
+            f'{worst} conflicting writes per takeover;'
+            f' the limit is {MAX_CONFLICTS_PER_TAKEOVER}'
+        )
         sys.exit(1)
 
 
--- a/eelgrassknot/coordination/digest_part.py
+++ b/eelgrassknot/coordination/digest_part.py
@@ -42,20 +42,21 @@
 
     def bind(self) -> None:
         """Look up the parts that this one uses, and register with them."""
-        members = self.node.part_set.parts
-        self.dispatch = members['dispatch']
-        self.upstreams = members['upstreams']
-        members['peers'].link.on_message(
-            messages.Heartbeat, self._on_heartbeat
-        )
-        members['membership'].payload_source = self.next_payload
-        members['membership'].zone_load_source = self.zone_loads
+        others = self.node.part_set.parts
+        self.dispatch = others['dispatch']
+        self.upstreams = others['upstreams']
+        others['peers'].link.on_message(messages.Heartbeat, self._on_heartbeat)
+        others['membership'].payload_source = self.next_payload
+        others['membership'].zone_load_source = self.zone_loads
 
     def status(self) -> dict[str, object]:
         """Return the number and maximum age of the known loads."""
         now_ms = self.node.clock.now_ms()
         with self.lock:
-            ages = [now_ms - heard for _, heard in self.digest.loads.values()]
+            ages = [
+                now_ms - received_ms
+                for _, received_ms in self.digest.loads.values()
+            ]
         return {
             'digests': {
                 'loads': len(ages),
@@ -218,14 +219,14 @@
     def _receive_zone_loads(
         self, vm: ids.VmId, loads: tuple[messages.ZoneLoad, ...]
     ) -> None:
-        foreign = [
+        remote_loads = [
             load for load in loads if load.availability_zone != self.zone
         ]
         if vm not in self.members:
             # Sent by another zone's gateway; forward it to this zone.
             with self.lock:
-                self.digest.forward_zone_loads(foreign)
-        for load in foreign:
+                self.digest.forward_zone_loads(remote_loads)
+        for load in remote_loads:
             self._report_zone_load(load)
 
     def _report_zone_load(self, load: messages.ZoneLoad) -> None:
@@ -264,9 +265,9 @@
     def _on_entry_vms_changed(
         self, event: membership_part.EntryVmsChanged
     ) -> None:
-        gone = set(self.members) - set(event.members)
+        removed = set(self.members) - set(event.members)
         self.members = event.members
-        for vm in gone:
+        for vm in removed:
             for key in self.in_flight_keys.pop(vm, ()):
                 info = self._find_upstream(key)
                 if info is not None:
