--- a/eelgrassknot/frontend/relay.py
+++ b/eelgrassknot/frontend/relay.py
@@ -347,7 +347,7 @@
         request = self.profile.request
         gaps = self.machine.progress.gaps_ms
         if not gaps and self.machine.progress.next_index == 1:
-            notify(policy.FirstTokenSeen(request))
+            notify(policy.FirstTokenReceived(request))
         elif gaps and gaps[-1] > LATE_GAP_MS:
             notify(policy.GapObserved(request, gaps[-1]))
         self.unreported += count
--- a/tests/steps/policy_health.py
+++ b/tests/steps/policy_health.py
@@ -12,29 +12,29 @@
 def given_upstreams(context):
     context.now_ms = 0.0
     context.names = list('abcd')
-    context.book = health.HealthBook()
+    context.book = health.HealthTracker()
     for name in context.names:
-        context.book.ensure(name, 0.0, False)
+        context.book.get_or_create(name, 0.0, False)
 
 
 @behave.when('"{name}" fails{rest}')
 def upstream_fails(context, name, rest):
     for word in ('fails' + rest).split(', '):
         if word == 'fails':
-            context.book.failed(name, context.now_ms)
+            context.book.record_failure(name, context.now_ms)
         else:
-            context.book.succeeded(name)
+            context.book.record_success(name)
 
 
 @behave.when('"{name}" fails')
 def upstream_fails_once(context, name):
-    context.book.failed(name, context.now_ms)
+    context.book.record_failure(name, context.now_ms)
 
 
 @behave.when('all four fail three times')
 def all_fail(context):
     for name in context.names * 3:
-        context.book.failed(name, context.now_ms)
+        context.book.record_failure(name, context.now_ms)
 
 
 @behave.when('{span_ms:d} ms of ejection pass')
@@ -48,7 +48,7 @@
         interval_ms = slow if name == 'a' else usual
         known = context.book.upstreams[name]
         for _ in range(OBSERVATIONS):
-            known.produced(TOKENS, TOKENS * interval_ms)
+            known.record_tokens(TOKENS, TOKENS * interval_ms)
     context.book.eject_slow(context.names, context.now_ms)
 
 
