--- a/benchmarks/outcomes/__main__.py
+++ b/benchmarks/outcomes/__main__.py
@@ -19,7 +19,9 @@
 STEPS = 60
 
 
-def _run(world: type[stateful.RuleBasedStateMachine], histories: int) -> bool:
+def _run(
+    machine_class: type[stateful.RuleBasedStateMachine], histories: int
+) -> bool:
     settings = hypothesis.settings(
         max_examples=histories,
         stateful_step_count=STEPS,
@@ -29,13 +31,13 @@
     )
     started_s = time.monotonic()
     try:
-        stateful.run_state_machine_as_test(world, settings=settings)
+        stateful.run_state_machine_as_test(machine_class, settings=settings)
     except AssertionError:
         traceback.print_exc()
         return False
     lasted_s = time.monotonic() - started_s
     print(
-        f'world={world.__name__} histories={histories} steps={STEPS}'
+        f'world={machine_class.__name__} histories={histories} steps={STEPS}'
         f' violations=0 seconds={lasted_s:.0f}'
     )
     return True
@@ -43,11 +45,11 @@
 
 def main(histories: int = 2_000, seed: int = 1) -> None:
     """Run both kinds of histories; exit with 1 if an invariant fails."""
-    worlds = (
+    state_machines = (
         hypothesis.seed(seed)(generation_simulation.GenerationHistories),
         hypothesis.seed(seed)(claim_simulation.ClaimHistories),
     )
-    held = [_run(world, histories) for world in worlds]
+    held = [_run(machine_class, histories) for machine_class in state_machines]
     sys.exit(0 if all(held) else 1)
 
 
--- a/benchmarks/relay/__main__.py
+++ b/benchmarks/relay/__main__.py
@@ -117,7 +117,7 @@
             request_us = _request_us(node, idle)
             costs = [_measure(node, n, seconds, idle) for n in streams]
         finally:
-            node.end()
+            node.stop()
     for cost in costs:
         _report(cost)
     token_us = max(cost.token_us for cost in costs)
--- a/benchmarks/relay/node.py
+++ b/benchmarks/relay/node.py
@@ -39,7 +39,7 @@
         try:
             self._start()
         except BaseException:
-            self.end()
+            self.stop()
             raise
 
     def cpu_s(self) -> float:
@@ -51,15 +51,15 @@
         """Return the resident memory of the daemon in KB."""
         return self.process.memory_info().rss / 1_024
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Stop all processes."""
         for child in self.children:
             child.end()
 
     def _start(self) -> None:
-        self.platform = self._standin('standins.platform')
-        self.engine = self._standin('benchmarks.relay.engine')
-        self._describe()
+        self.platform = self._start_standin('standins.platform')
+        self.engine = self._start_standin('benchmarks.relay.engine')
+        self._write_settings()
         daemon = processes.Child(
             'daemon',
             [
@@ -74,7 +74,7 @@
         processes.wait_until(self._ready, 'the daemon is ready')
         processes.wait_until(self._serves, 'the daemon serves')
 
-    def _standin(self, module: str) -> str:
+    def _start_standin(self, module: str) -> str:
         child = processes.start_standin(module, [module], self.folder)
         self.children.append(child)
         return processes.wait_listening(child)
@@ -90,9 +90,9 @@
             return False
         return True
 
-    def _describe(self) -> None:
+    def _write_settings(self) -> None:
         platform = http_storage.create(f'http://{self.platform}')
-        text = msgspec.json.encode(_text()).decode()
+        text = msgspec.json.encode(_services_text()).decode()
         config_store.accept(platform.table, text, 'benchmark', 'c1').unwrap()
         host, _, engine_port = self.engine.rpartition(':')
         entry = {
@@ -124,7 +124,7 @@
         (self.folder / 'vm.json').write_bytes(encoded)
 
 
-def _text() -> dict[str, object]:
+def _services_text() -> dict[str, object]:
     return {
         'deployment': 'benchmark',
         'regions': [
--- a/eelgrassknot/frontend/callers.py
+++ b/eelgrassknot/frontend/callers.py
@@ -66,7 +66,7 @@
         self.dispatch: dispatching.DispatchPart | None = None
         self.relays: relay_part.RelayPart | None = None
         self.accounts: accounts.Accounts | None = None
-        node.hub.subscribe(events.ConfigAdopted, self._config_adopted)
+        node.hub.subscribe(events.ConfigAdopted, self._on_config_adopted)
         self.server = server.Server(
             node.settings.listen.callers,
             self.application,
@@ -91,7 +91,7 @@
         """Close the listener."""
         self.server.stop()
 
-    def _config_adopted(self, event: events.ConfigAdopted) -> None:
+    def _on_config_adopted(self, event: events.ConfigAdopted) -> None:
         self.accounts = accounts.Accounts(event.text)
 
     def application(self, environ, start_response):
@@ -112,12 +112,12 @@
     ) -> wrappers.Response:
         endpoint, values = _ROUTES.bind_to_environ(http.environ).match()
         if self.accounts is None:
-            return _starting(request)
+            return _not_ready(request)
         header = http.headers.get('Authorization', '')
         match self.accounts.authenticate(header):
             case result.Err(error):
                 return errors.response(
-                    401, _invalid(error.code, str(error), request)
+                    401, _invalid_request(error.code, str(error), request)
                 )
             case result.Ok(account):
                 pass
@@ -177,7 +177,7 @@
     return ids.RequestId(ids.random_id())
 
 
-def _invalid(
+def _invalid_request(
     code: str, message: str, request: ids.RequestId
 ) -> errors.ErrorBody:
     return errors.ErrorBody(
@@ -193,11 +193,11 @@
 def _http_error(
     error: http_errors.HTTPException, request: ids.RequestId
 ) -> wrappers.Response:
-    body = _invalid('http', error.description or '', request)
+    body = _invalid_request('http', error.description or '', request)
     return errors.response(error.code or 500, body)
 
 
-def _starting(request: ids.RequestId) -> wrappers.Response:
+def _not_ready(request: ids.RequestId) -> wrappers.Response:
     body = errors.ErrorBody(
         type=states.Outcome.NOT_RUN.value,
         code='starting',
--- a/eelgrassknot/frontend/claim_part.py
+++ b/eelgrassknot/frontend/claim_part.py
@@ -29,7 +29,7 @@
 STORE_POLL_MS = 20.0
 IDLE_POLL_MS = 5_000.0
 MAX_GROUP_ROWS = 16
-DRAIN_STORE_MS = 15_000.0
+DRAIN_TIMEOUT_MS = 15_000.0
 
 
 @dataclasses.dataclass
@@ -66,9 +66,9 @@
         self.relays: relay_part.RelayPart | None = None
         self.lock = threading.Lock()
         self.storing: dict[ids.Nonce, KeyedCall] = {}
-        self.due: list[tuple[KeyedCall, messages.StoreOutcome]] = []
+        self.pending_writes: list[tuple[KeyedCall, messages.StoreOutcome]] = []
         self.loop = work_loop.WorkLoop(
-            'claims', STORE_POLL_MS, IDLE_POLL_MS, self._store_due
+            'claims', STORE_POLL_MS, IDLE_POLL_MS, self._store_pending
         )
 
     def bind(self) -> None:
@@ -85,7 +85,7 @@
 
     def drain(self) -> None:
         """Wait until known outcomes are stored, up to a time limit."""
-        until_ms = self.node.clock.now_ms() + DRAIN_STORE_MS
+        until_ms = self.node.clock.now_ms() + DRAIN_TIMEOUT_MS
         while self.storing and self.node.clock.now_ms() < until_ms:
             self.loop.stopped.wait(STORE_POLL_MS / clocks.MS_PER_SECOND)
         if self.storing:
@@ -141,7 +141,7 @@
                     event = messages.CallEnded(dispatch())
                     pending += self._handle(call, event)
                 case messages.StoreOutcome():
-                    self._store_later(call, action)
+                    self._queue_outcome(call, action)
                 case _:
                     started_ms = self.node.clock.now_ms()
                     event = self._perform(call, action)
@@ -243,21 +243,21 @@
                 return messages.WriteUnavailable()
         return messages.WriteUnknown()
 
-    def _store_later(
+    def _queue_outcome(
         self, call: KeyedCall, action: messages.StoreOutcome
     ) -> None:
         with self.lock:
             self.storing[call.nonce] = call
-            self.due.append((call, action))
+            self.pending_writes.append((call, action))
         self.loop.wake()
 
-    def _store_due(self) -> bool:
-        self._wake_storing()
-        while self.due:
+    def _store_pending(self) -> bool:
+        self._retry_storing()
+        while self.pending_writes:
             self._store_group()
         return bool(self.storing)
 
-    def _wake_storing(self) -> None:
+    def _retry_storing(self) -> None:
         now_ms = self.node.clock.now_ms()
         with self.lock:
             waiting = list(self.storing.values())
@@ -267,8 +267,8 @@
 
     def _store_group(self) -> None:
         with self.lock:
-            group = self.due[:MAX_GROUP_ROWS]
-            del self.due[:MAX_GROUP_ROWS]
+            group = self.pending_writes[:MAX_GROUP_ROWS]
+            del self.pending_writes[:MAX_GROUP_ROWS]
         rows = []
         for call, action in group:
             row = self._outcome_row(call, action)
@@ -303,6 +303,6 @@
         actions = self._handle(call, event)
         with self.lock:
             for action in actions:
-                self.due.append((call, action))
+                self.pending_writes.append((call, action))
             if call.machine.stage is claims.ClaimStage.ENDED:
                 self.storing.pop(call.nonce, None)
--- a/eelgrassknot/frontend/plain_calls.py
+++ b/eelgrassknot/frontend/plain_calls.py
@@ -27,7 +27,7 @@
 QUEUE_POLL_MS = 500.0
 KEY_HEADER = 'Idempotency-Key'
 
-_PASSED_HEADERS = ('Content-Type', 'Accept', KEY_HEADER)
+_FORWARDED_HEADERS = ('Content-Type', 'Accept', KEY_HEADER)
 _STATUSES = {
     states.Outcome.NOT_RUN: http.HTTPStatus.SERVICE_UNAVAILABLE,
     states.Outcome.UNKNOWN: http.HTTPStatus.GATEWAY_TIMEOUT,
@@ -204,7 +204,7 @@
                 return future.result(QUEUE_POLL_MS / clocks.MS_PER_SECOND)
             except concurrent.futures.TimeoutError:
                 late = self.clock.now_ms() >= self.machine.deadline_ms
-                if late or self.context.caller.is_gone():
+                if late or self.context.caller.is_disconnected():
                     self.context.dispatch.cancel(request)
                     reason = states.RefusalReason.DEADLINE
                     return policy.Refuse(
@@ -236,7 +236,7 @@
     def _headers(self) -> dict[str, str]:
         given = self.context.http.headers
         headers = {
-            name: given[name] for name in _PASSED_HEADERS if name in given
+            name: given[name] for name in _FORWARDED_HEADERS if name in given
         }
         headers['X-Request-Id'] = self.context.request
         return headers
--- a/eelgrassknot/frontend/relay.py
+++ b/eelgrassknot/frontend/relay.py
@@ -239,7 +239,7 @@
                 action = future.result(MAX_WAIT_MS / 1000)
                 break
             except concurrent.futures.TimeoutError:
-                if self.context.caller.is_gone():
+                if self.context.caller.is_disconnected():
                     self.context.dispatch.cancel(request)
                     return self._handle(messages.CallerGone())
                 ended = self._handle(messages.Tick())
@@ -329,7 +329,7 @@
         return actions
 
     def _handle_idle(self) -> list[messages.Action]:
-        if self.context.caller.is_gone():
+        if self.context.caller.is_disconnected():
             return self._handle(messages.CallerGone())
         if self.probe is not None and self.probe.done():
             answer = self.probe.result()
--- a/eelgrassknot/frontend/relay_part.py
+++ b/eelgrassknot/frontend/relay_part.py
@@ -34,7 +34,7 @@
 QUERY_THREADS = 8
 CANCEL_POLL_MS = 50.0
 IDLE_POLL_MS = 5_000.0
-DRAIN_CANCELS_MS = 8_000.0
+DRAIN_TIMEOUT_MS = 8_000.0
 MAX_ENGINES_QUERIED = 16
 KEYED_LOOKUP_TIMEOUT_MS = 300.0
 
@@ -69,7 +69,7 @@
         )
         self.multiplexer = stream_multiplexer.StreamMultiplexer(node.clock)
         node.hub.subscribe(
-            kernel_events.UpstreamsChanged, self._upstreams_changed
+            kernel_events.UpstreamsChanged, self._on_upstreams_changed
         )
 
     def bind(self) -> None:
@@ -86,7 +86,7 @@
 
         Callers may still reconnect within the grace period.
         """
-        until_ms = self.node.clock.now_ms() + DRAIN_CANCELS_MS
+        until_ms = self.node.clock.now_ms() + DRAIN_TIMEOUT_MS
         while self.cancellations.pending:
             if self.node.clock.now_ms() >= until_ms:
                 break
@@ -214,7 +214,7 @@
                         return asked[future]
         return None
 
-    def _upstreams_changed(
+    def _on_upstreams_changed(
         self, event: kernel_events.UpstreamsChanged
     ) -> None:
         known = {u.upstream: u for u in event.upstreams}
@@ -228,10 +228,10 @@
         with self.lock:
             due = self.cancellations.pop_due(self.node.clock.now_ms())
         for entry in due:
-            self.query_executor.submit(self._cancel_now, entry)
+            self.query_executor.submit(self._send_cancellation, entry)
         return bool(self.cancellations.pending)
 
-    def _cancel_now(self, entry: cancellation.Cancellation) -> None:
+    def _send_cancellation(self, entry: cancellation.Cancellation) -> None:
         match engine_client.cancel(entry.upstream.address, entry.generation):
             case result.Ok():
                 with self.lock:
--- a/eelgrassknot/requests/claim.py
+++ b/eelgrassknot/requests/claim.py
@@ -266,7 +266,7 @@
     def _call_ended(
         self, end: plain_messages.EndCall, now_ms: float
     ) -> list[messages.Action]:
-        told = messages.EndClaim(
+        end_claim = messages.EndClaim(
             end.outcome,
             end.reason,
             answer=end.answer,
@@ -276,12 +276,12 @@
             case states.Outcome.UNKNOWN:
                 self.stage = ClaimStage.ENDED
                 self.ledger.mark_unknown(self.nonce)
-                return [told]
+                return [end_claim]
             case states.Outcome.NOT_RUN:
                 state = messages.ClaimState.NOT_RUN
             case _:
                 state = messages.ClaimState.DONE
-        return [told] + self._store(state, end.answer, now_ms)
+        return [end_claim] + self._store(state, end.answer, now_ms)
 
     def _store(
         self,
--- a/eelgrassknot/requests/forwarded_stream.py
+++ b/eelgrassknot/requests/forwarded_stream.py
@@ -35,7 +35,7 @@
 MAX_COPY_TRIES = 3
 """Maximum number of attempts to continue from a maintained copy that does
 not exist on its holder yet."""
-LEAVE_SPREAD_MS = 1_100.0
+MOVE_SPREAD_MS = 1_100.0
 """Period after an engine's leave notice over which runs with a copy are
 moved; ms. Engines give 1.5 s notice. Moving all runs at once would make
 them delay each other, and some runs finish before they have to move. Runs
@@ -102,11 +102,11 @@
         self.answer_started = False
         self.may_have_run = False
         self.copying = False
-        self.must_leave = False
+        self.must_move = False
         self.switch_at_ms = NEVER_MS
         self.copy_at_ms = NEVER_MS
         self.refused_copies: set[str] = set()
-        self.tried_copy: stream_run.MemoryCopy | None = None
+        self.last_tried_copy: stream_run.MemoryCopy | None = None
         self.takeovers = 0
 
     def handle(
@@ -201,11 +201,11 @@
         self.attempt += 1
         return stream_run.Run(self.attempt, upstream, last_activity_ms=now_ms)
 
-    def _continue_at_copy(self, now_ms: float) -> list[messages.Action]:
+    def _continue_from_copy(self, now_ms: float) -> list[messages.Action]:
         copy = self.run.copy
         # A copy can be used only once, unless the holder refuses it.
         self.run.copy = None
-        self.tried_copy = copy
+        self.last_tried_copy = copy
         return self._send_successor(copy.holder, copy.name, now_ms)
 
     def _copy_placed(
@@ -231,7 +231,7 @@
                 self.successor = None
                 return [
                     messages.Cancel(attempt),
-                    *self._after_lost_successor(now_ms),
+                    *self._handle_lost_successor(now_ms),
                 ]
             if self.answer_started:
                 cancel = messages.Cancel(attempt)
@@ -252,7 +252,7 @@
         old, self.run = self.run, self.successor
         self.successor = None
         self.copying = False
-        self.must_leave = self.run.upstream.upstream in self.leaving
+        self.must_move = self.run.upstream.upstream in self.leaving
         self.switch_at_ms = NEVER_MS
         self.copy_at_ms = NEVER_MS
         self.refused_copies.clear()
@@ -266,7 +266,7 @@
             return []
         self.run.last_activity_ms = now_ms
         if self.run.first_event_ms is None:
-            self._take_first_event(now_ms)
+            self._record_first_event(now_ms)
         if index is not None and self.last_event is not None:
             if index <= self.last_event:
                 return []
@@ -277,7 +277,7 @@
             self.last_event = index
         return [messages.Forward(data)]
 
-    def _take_first_event(self, now_ms: float) -> None:
+    def _record_first_event(self, now_ms: float) -> None:
         run = self.run
         run.first_event_ms = now_ms
         if run.copy is not None:
@@ -306,18 +306,18 @@
         self.failed.add(run.upstream.upstream)
         if run is self.successor:
             self.successor = None
-            return self._after_lost_successor(now_ms)
+            return self._handle_lost_successor(now_ms)
         if self.successor is not None:
             # The successor continues from the last forwarded event.
             return []
         if not may_have_sent:
             self.runs_started -= 1
             return self._place_again()
-        return self._after_lost_run(now_ms)
+        return self._handle_lost_run(now_ms)
 
-    def _after_lost_run(self, now_ms: float) -> list[messages.Action]:
+    def _handle_lost_run(self, now_ms: float) -> list[messages.Action]:
         if self.run.copy is not None:
-            return self._continue_at_copy(now_ms)
+            return self._continue_from_copy(now_ms)
         if self.copying:
             # The copy in progress may still complete.
             return []
@@ -331,10 +331,10 @@
             return self._place_again()
         return self._give_up('upstream_lost', None)
 
-    def _after_lost_successor(self, now_ms: float) -> list[messages.Action]:
+    def _handle_lost_successor(self, now_ms: float) -> list[messages.Action]:
         if self.run.upstream.upstream in self.failed:
-            return self._after_lost_run(now_ms)
-        if self.must_leave:
+            return self._handle_lost_run(now_ms)
+        if self.must_move:
             self.switch_at_ms = now_ms
         return self._tick(now_ms)
 
@@ -345,14 +345,14 @@
         if run is self.successor:
             self.successor = None
             self._keep_refused_copy(now_ms)
-            return self._after_lost_successor(now_ms)
+            return self._handle_lost_successor(now_ms)
         self.failed.add(run.upstream.upstream)
         self.runs_started -= 1
         return self._place_again()
 
     def _keep_refused_copy(self, now_ms: float) -> None:
         """Keep a refused copy, which may not have existed yet."""
-        copy = self.tried_copy
+        copy = self.last_tried_copy
         if copy is None or not copy.grows or copy.tries + 1 >= MAX_COPY_TRIES:
             return
         if copy.holder.upstream not in self.leaving:
@@ -381,11 +381,11 @@
         if run.copy is not None and run.copy.holder.upstream == upstream:
             run.copy = None
         if run.upstream.upstream == upstream:
-            self.must_leave = True
+            self.must_move = True
             self.switch_at_ms = now_ms
             if run.copy is not None:
                 self.switch_at_ms += self.generator.uniform(
-                    0.0, LEAVE_SPREAD_MS
+                    0.0, MOVE_SPREAD_MS
                 )
         return self._tick(now_ms)
 
@@ -395,17 +395,17 @@
         if not self._has_single_run():
             return []
         if now_ms >= self.switch_at_ms:
-            return self._leave_upstream(now_ms)
+            return self._move_from_upstream(now_ms)
         if now_ms >= self.copy_at_ms:
             self.copy_at_ms = NEVER_MS
             return self._make_copy()
         silent = now_ms >= self.run.last_activity_ms + SILENCE_TIMEOUT_MS
         if silent and self._can_use_copy():
             self.run.last_activity_ms = now_ms
-            return self._continue_at_copy(now_ms)
+            return self._continue_from_copy(now_ms)
         return []
 
-    def _leave_upstream(self, now_ms: float) -> list[messages.Action]:
+    def _move_from_upstream(self, now_ms: float) -> list[messages.Action]:
         run = self.run
         if run.first_event_ms is None:
             self.switch_at_ms = now_ms + FIRST_EVENT_CHECK_MS
@@ -415,7 +415,7 @@
             return []
         self.switch_at_ms = NEVER_MS
         if run.copy is not None and not self._is_outdated(now_ms):
-            return self._continue_at_copy(now_ms)
+            return self._continue_from_copy(now_ms)
         return self._make_copy()
 
     def _is_outdated(self, now_ms: float) -> bool:
@@ -433,7 +433,7 @@
         if run.copy is not None:
             return [messages.CopyMemory(run.upstream, run.copy.holder)]
         refused = frozenset(self.refused_copies | self.leaving)
-        return [messages.PlaceCopy(run.upstream, refused, not self.must_leave)]
+        return [messages.PlaceCopy(run.upstream, refused, not self.must_move)]
 
     def _copy_ended(
         self, event: messages.CopyEnded, now_ms: float
@@ -448,7 +448,7 @@
                 event.target, name, now_ms, grows=False
             )
             self.copy_at_ms = now_ms + COPY_REFRESH_MS
-        elif self.must_leave and run.copy is not None:
+        elif self.must_move and run.copy is not None:
             # The update failed, but the outdated copy can be used.
             run.copy = dataclasses.replace(run.copy, usable_ms=now_ms)
         else:
@@ -459,8 +459,8 @@
             else:
                 self.refused_copies.add(event.target.upstream)
         if run.upstream.upstream in self.failed:
-            return self._after_lost_run(now_ms)
-        if self.must_leave:
+            return self._handle_lost_run(now_ms)
+        if self.must_move:
             pause_ms = 0.0 if event.target else SWITCH_RETRY_MS
             self.switch_at_ms = now_ms + pause_ms
         return self._tick(now_ms)
--- a/tests/steps/frontend_caller_connection.py
+++ b/tests/steps/frontend_caller_connection.py
@@ -21,10 +21,10 @@
 
 
 @behave.then('the caller is disconnected')
-def is_gone(context):
+def is_disconnected(context):
     assert caller_connection.peer_closed(context.near)
 
 
 @behave.then('the caller is still connected')
-def is_not_gone(context):
+def is_still_connected(context):
     assert not caller_connection.peer_closed(context.near)
--- a/tests/steps/frontend_stream_multiplexer.py
+++ b/tests/steps/frontend_stream_multiplexer.py
@@ -92,7 +92,7 @@
 
 
 @behave.given('a multiplexer with {count:d} streams')
-def given_lane(context, count):
+def given_multiplexer(context, count):
     context.time = clocks.ManualClock()
     context.multiplexer = stream_multiplexer.StreamMultiplexer(context.time)
     context.multiplexer.start()
@@ -150,44 +150,44 @@
     assert got == wanted, got
 
 
-def _back(context, number):
+def _released(context, number):
     stream = context.streams[number]
     assert stream.released.wait(_WAIT_S), 'the stream is still forwarded'
     return stream
 
 
 @behave.then('stream {number:d} is released with {count:d} unhandled event')
-def back_with_events(context, number, count):
-    assert len(_back(context, number).events) == count
+def released_with_events(context, number, count):
+    assert len(_released(context, number).events) == count
 
 
 @behave.then('stream {number:d} is still forwarded')
-def still_carried(context, number):
+def still_forwarded(context, number):
     assert not context.streams[number].released.is_set()
 
 
 @behave.then('stream {number:d} is released to be resumed from {index:d}')
-def back_to_resume(context, number, index):
-    closed, resumed = _back(context, number).actions
+def released_to_resume(context, number, index):
+    closed, resumed = _released(context, number).actions
     assert closed == messages.CloseStream(1)
     assert resumed.index == index
 
 
 @behave.then('stream {number:d} is released with unsent bytes')
-def back_unsent(context, number):
-    stream = _back(context, number)
+def released_unsent(context, number):
+    stream = _released(context, number)
     assert 0 < len(stream.unsent) < len(_LONG_TEXT)
     assert not stream.broken
 
 
 @behave.then('stream {number:d} is released as broken')
-def back_broken(context, number):
-    assert _back(context, number).broken
+def released_broken(context, number):
+    assert _released(context, number).broken
 
 
 @behave.then('stream {number:d} is released with nothing pending')
-def back_with_nothing(context, number):
-    stream = _back(context, number)
+def released_with_nothing(context, number):
+    stream = _released(context, number)
     assert not (
         stream.events or stream.actions or stream.unsent or stream.broken
     )
--- a/tests/steps/kernel_hub.py
+++ b/tests/steps/kernel_hub.py
@@ -52,7 +52,7 @@
 
 
 @behave.then('the first and the third handler receive it')
-def have_it(context):
+def handlers_received(context):
     assert context.had == ['first', 'third'], context.had
 
 
--- a/tests/steps/requests_claim.py
+++ b/tests/steps/requests_claim.py
@@ -30,7 +30,7 @@
         return super()._row_read(row, event, now_ms)
 
 
-class _GoesOn(claims.Claim):
+class _ContinuesAfterGivingUp(claims.Claim):
     def _give_up(self, reason, now_ms):
         ended = super()._give_up(reason, now_ms)
         self.stage = claims.ClaimStage.HELD
@@ -44,10 +44,10 @@
         return super()._owner_answered(answer, now_ms)
 
 
-_BROKEN = {
+_FAULTY = {
     'takes over a claim whose owner does not respond': _TakesOver,
     'treats an absent row as proof of no claim': _TrustsAbsence,
-    'continues after giving up': _GoesOn,
+    'continues after giving up': _ContinuesAfterGivingUp,
     'replaces a claim whose owner is gone': _ReplacesGone,
 }
 
@@ -70,7 +70,7 @@
 )
 def histories_catch(context, fault):
     try:
-        _run_histories(_BROKEN[fault], 3_000)
+        _run_histories(_FAULTY[fault], 3_000)
     except AssertionError:
         return
     raise LookupError(
--- a/tests/steps/requests_forwarded_stream.py
+++ b/tests/steps/requests_forwarded_stream.py
@@ -42,7 +42,7 @@
 
 
 @behave.when("the engine's connection breaks")
-def breaks_off(context):
+def connection_breaks(context):
     attempt = context.simulation.last(messages.Send).attempt
     context.simulation.handle(messages.AttemptBroken(attempt, True))
 
@@ -101,7 +101,7 @@
     'the stream is sent to {name} to continue after event {index:d} from '
     'its copy'
 )
-def goes_on(context, name, index):
+def continues(context, name, index):
     _check_send(context, name, index, f'{name}:1/q')
 
 
@@ -109,12 +109,12 @@
     "the stream is sent to {name} to continue after event {index:d} from e1's "
     'copy {handle}'
 )
-def goes_on_handle(context, name, index, handle):
+def continues_from_handle(context, name, index, handle):
     _check_send(context, name, index, f'e1:1/{handle}')
 
 
 @behave.then('the stream is sent to {name} to run again after event {index:d}')
-def runs_anew(context, name, index):
+def runs_again(context, name, index):
     _check_send(context, name, index, None)
 
 
@@ -139,7 +139,7 @@
 
 
 @behave.then('the answer is aborted')
-def is_broken_off(context):
+def is_aborted(context):
     assert isinstance(context.simulation.latest[-1], messages.AbortAnswer)
 
 
@@ -151,12 +151,12 @@
 
 
 @behave.then('an engine other than {name} is requested')
-def another_wanted(context, name):
+def another_requested(context, name):
     assert context.simulation.latest == [messages.Place(frozenset([name]))]
 
 
 @behave.then('an upstream for a copy is requested')
-def copy_wanted(context):
+def copy_requested(context):
     assert isinstance(context.simulation.latest[-1], messages.PlaceCopy)
 
 
--- a/tests/steps/requests_generation.py
+++ b/tests/steps/requests_generation.py
@@ -20,27 +20,27 @@
         return False
 
 
-class _Mixes(generations.Generation):
+class _AcceptsOtherGenerations(generations.Generation):
     def _is_foreign(self, token):
         return False
 
 
-class _SkipsIndexes(generations.Generation):
+class _AcceptsAnyIndex(generations.Generation):
     def receive_token(self, connection, token, now_ms):
         self.progress.next_index = token.index
         return super().receive_token(connection, token, now_ms)
 
 
-class _ClaimsNotRun(generations.Generation):
+class _AlwaysReportsNotRun(generations.Generation):
     def _no_answer(self, reason, retry_after_ms=None):
         return messages.EndRequest(states.Outcome.NOT_RUN, reason)
 
 
-_BROKEN = {
+_FAULTY = {
     'retries after its first delivered token': _RetriesLate,
-    'accepts tokens of other generations': _Mixes,
-    'accepts tokens with any index': _SkipsIndexes,
-    'reports not_run whatever was sent': _ClaimsNotRun,
+    'accepts tokens of other generations': _AcceptsOtherGenerations,
+    'accepts tokens with any index': _AcceptsAnyIndex,
+    'reports not_run whatever was sent': _AlwaysReportsNotRun,
 }
 
 
@@ -65,7 +65,7 @@
 )
 def histories_catch(context, fault):
     try:
-        _run_histories(_BROKEN[fault], 1_000)
+        _run_histories(_FAULTY[fault], 1_000)
     except AssertionError:
         return
     raise LookupError(
@@ -88,34 +88,34 @@
     machine = generations.Generation(_REQUEST, streamed, 90_000.0, 0.0)
     context.machine = machine
     context.seen = []
-    _tell(
+    _handle(
         context,
         messages.Placed(
             generation_simulation.upstream('e1'), ids.GenerationId('g1'), False
         ),
     )
     if count:
-        _tell(context, messages.StreamAccepted(1))
+        _handle(context, messages.StreamAccepted(1))
     for index in range(count):
         context.now_ms += 30.0
-        _tell(context, messages.TokenReceived(1, _token(index)))
+        _handle(context, messages.TokenReceived(1, _token(index)))
 
 
-def _tell(context, event):
+def _handle(context, event):
     context.actions = context.machine.handle(event, context.now_ms)
     context.seen += context.actions
 
 
 def _tick(context):
     context.now_ms = max(context.now_ms, context.machine.wake_ms())
-    _tell(context, messages.Tick())
+    _handle(context, messages.Tick())
 
 
 def _silence(context, state, produced):
     _tick(context)
     probe = context.machine.probe
     context.silent_ms = context.now_ms
-    _tell(context, messages.StatusReceived(probe, state, produced))
+    _handle(context, messages.StatusReceived(probe, state, produced))
 
 
 @behave.given('a streamed generation that has delivered {count:d} tokens')
@@ -146,11 +146,11 @@
 @behave.when('the engine ends the stream and reports done at {produced:d}')
 def ends_stream(context, produced):
     connection = context.machine.connection
-    _tell(context, messages.StreamAccepted(connection))
-    _tell(context, messages.StreamFinished(connection))
+    _handle(context, messages.StreamAccepted(connection))
+    _handle(context, messages.StreamFinished(connection))
     probe = context.machine.probe
     done = states.GenerationState.DONE
-    _tell(context, messages.StatusReceived(probe, done, produced))
+    _handle(context, messages.StatusReceived(probe, done, produced))
 
 
 @behave.when('its connection is silent and the engine has produced {count:d}')
@@ -178,7 +178,7 @@
     for _ in range(10):
         connection = context.machine.connection
         if connection is not None:
-            _tell(context, messages.StreamClosed(connection, True))
+            _handle(context, messages.StreamClosed(connection, True))
         elif context.machine.stage is generations.Stage.QUEUED:
             return
         else:
@@ -188,23 +188,23 @@
 @behave.when('its engine no longer knows the generation')
 def engine_forgets(context):
     _tick(context)
-    _tell(context, messages.StatusMissing(context.machine.probe))
+    _handle(context, messages.StatusMissing(context.machine.probe))
 
 
 @behave.when('its caller disconnects')
 def caller_leaves(context):
-    _tell(context, messages.CallerGone())
+    _handle(context, messages.CallerGone())
 
 
 @behave.when('a newer reader takes it over')
 def reader_superseded(context):
-    _tell(context, messages.ReaderSuperseded())
+    _handle(context, messages.ReaderSuperseded())
 
 
 @behave.when('its deadline passes')
 def ends_by_deadline(context):
     context.now_ms = 90_000.0
-    _tell(context, messages.Tick())
+    _handle(context, messages.Tick())
 
 
 @behave.then('it resumes from index {index:d} on another connection')
@@ -232,7 +232,7 @@
 )
 def next_token(context, later_ms, part, spent_ms):
     context.now_ms += later_ms
-    _tell(context, messages.TokenReceived(1, _token(3)))
+    _handle(context, messages.TokenReceived(1, _token(3)))
     fields = context.machine.progress.timeline.fields()
     assert fields[part] == spent_ms, fields
 
--- a/tests/steps/requests_plain_call.py
+++ b/tests/steps/requests_plain_call.py
@@ -28,25 +28,25 @@
     context.call, context.sent = _start(name)
 
 
-def _tell(context, event, now_ms=10.0):
+def _handle(context, event, now_ms=10.0):
     context.actions = context.call.handle(event, now_ms)
 
 
 @behave.when('its attempt fails and {what}')
 def attempt_fails(context, what):
     left = what == 'bytes were sent'
-    _tell(context, messages.AttemptFailed(1, left))
+    _handle(context, messages.AttemptFailed(1, left))
 
 
 @behave.when("its attempt is answered with another request's answer")
 def attempt_crossed(context):
     answer = messages.Answer(200, 'text/plain', b'x', ids.RequestId('r2'))
-    _tell(context, messages.Answered(1, answer))
+    _handle(context, messages.Answered(1, answer))
 
 
 @behave.when('its attempt is answered with the status {status:d}')
 def attempt_answered(context, status):
-    _tell(
+    _handle(
         context,
         messages.Answered(1, messages.Answer(status, 'text/plain', b'')),
     )
@@ -55,12 +55,12 @@
 @behave.when('the dispatcher refuses it')
 def refused(context):
     reason = states.RefusalReason.NO_UPSTREAM
-    _tell(context, messages.Refused(reason, 1_000.0))
+    _handle(context, messages.Refused(reason, 1_000.0))
 
 
 @behave.when('its delay is over and the dispatcher refuses it')
 def delayed_refused(context):
-    _tell(context, messages.Tick(), context.call.wake_ms())
+    _handle(context, messages.Tick(), context.call.wake_ms())
     assert context.actions == [messages.Place(ids.UpstreamId('p1'))]
     refused(context)
 
@@ -68,12 +68,12 @@
 @behave.then('the plain call is sent again after a delay')
 def sent_again(context):
     assert context.actions == []
-    _tell(context, messages.Tick(), context.call.wake_ms())
+    _handle(context, messages.Tick(), context.call.wake_ms())
     assert context.actions == [messages.Place(ids.UpstreamId('p1'))]
 
 
 @behave.then('the plain call requests another upstream')
-def wants_another(context):
+def requests_another(context):
     assert context.actions == [messages.Place(ids.UpstreamId('p1'))]
 
 
