--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -24,11 +24,11 @@
 from eelgrassknot.coordination import peer_messages as messages
 from eelgrassknot.coordination import vm_list_part
 
-__all__ = ['Target', 'main', 'plane']
+__all__ = ['Target', 'fit_plane', 'main']
 
 PAGE = pathlib.Path(__file__).parent.parent / 'docs' / 'CAPACITY.md'
-BEGIN = '<!-- figures: written by python -m benchmarks.capacity -->\n'
-END = '<!-- end of figures -->\n'
+BEGIN_MARKER = '<!-- figures: written by python -m benchmarks.capacity -->\n'
+END_MARKER = '<!-- end of figures -->\n'
 SECONDS_PER_DAY = 86_400
 MS = 1_000.0
 
@@ -62,7 +62,7 @@
         return self.servers / self.zones
 
 
-def plane(
+def fit_plane(
     costs: list[control_cost.Cost], name: str
 ) -> tuple[float, float, float]:
     """Fit a figure by a least-squares plane over the measured points.
@@ -92,7 +92,7 @@
     return floor, by_peer, by_upstream
 
 
-def slopes(costs: list[control_cost.Cost], target: Target) -> list[str]:
+def slope_table(costs: list[control_cost.Cost], target: Target) -> list[str]:
     """Return the table of measured points and slopes."""
     lines = [
         '### Control of one VM, measured',
@@ -125,7 +125,7 @@
     )
     total = 0.0
     for label, name, scale, limit in fields:
-        floor, by_peer, by_upstream = plane(costs, name)
+        floor, by_peer, by_upstream = fit_plane(costs, name)
         value = floor + by_peer * target.zone_peers
         value = (value + by_upstream * target.zone_upstreams) * scale
         if name.endswith('bytes_per_s'):
@@ -142,7 +142,7 @@
     return lines
 
 
-def configuration(target: Target) -> list[str]:
+def services_text_cost(target: Target) -> list[str]:
     """Return the cost of changes to the services text."""
     packed = len(zlib.compress(_document(target)))
     plain = len(_document(target))
@@ -160,7 +160,7 @@
     ]
 
 
-def digests(target: Target) -> list[str]:
+def digest_ages(target: Target) -> list[str]:
     """Return the age of digests at the target size."""
     peers = target.zone_peers
     interval_ms = min(
@@ -197,7 +197,7 @@
     ]
 
 
-def table(target: Target) -> list[str]:
+def table_rates(target: Target) -> list[str]:
     """Return the rates of reads and writes of the platform's table."""
     region_nodes = target.nodes // target.regions
     watchers = sum(
@@ -257,7 +257,7 @@
     return lines
 
 
-def between_zones(target: Target) -> list[str]:
+def zone_traffic(target: Target) -> list[str]:
     """Return the traffic from gateways to other zones."""
     codec = peer_codec.PeerCodec('vm-0000', 'i' * 24, 1, [b'k' * 32])
     loads = tuple(
@@ -282,7 +282,7 @@
     ]
 
 
-def growth(target: Target) -> list[str]:
+def load_after_losses(target: Target) -> list[str]:
     """Return the load on an ordinary day and after losses."""
     tokens = target.tokens_per_s / target.nodes
     streams = tokens * 0.029
@@ -338,18 +338,20 @@
     costs = [control_cost.Cost(**result) for result in results]
     target = Target()
     lines = [
-        *slopes(costs, target),
-        *configuration(target),
-        *digests(target),
-        *between_zones(target),
-        *table(target),
-        *growth(target),
+        *slope_table(costs, target),
+        *services_text_cost(target),
+        *digest_ages(target),
+        *zone_traffic(target),
+        *table_rates(target),
+        *load_after_losses(target),
     ]
     page = PAGE.read_text(encoding='utf-8')
-    before, _, rest = page.partition(BEGIN)
-    _, _, after = rest.partition(END)
+    before, _, rest = page.partition(BEGIN_MARKER)
+    _, _, after = rest.partition(END_MARKER)
     figures = '\n'.join(lines)
-    PAGE.write_text(before + BEGIN + '\n' + figures + END + after)
+    PAGE.write_text(
+        before + BEGIN_MARKER + '\n' + figures + END_MARKER + after
+    )
     print(f'wrote {PAGE}')
 
 
--- a/benchmarks/forwarding_cost.py
+++ b/benchmarks/forwarding_cost.py
@@ -27,7 +27,7 @@
 
 CALLS = 2_000
 STREAMS = 25
-SHOWN = 12
+MAX_PROFILE_ROWS = 12
 
 
 def main(kind: str, profiled: bool = False) -> None:
@@ -39,16 +39,18 @@
     """
     registry.load_plugins('eelgrassknot.platform')
     logs.configure('error')
-    count, ask = {'calls': (CALLS, _call), 'streams': (STREAMS, _stream)}[kind]
+    count, send = {'calls': (CALLS, _call), 'streams': (STREAMS, _stream)}[
+        kind
+    ]
     profile = cProfile.Profile() if profiled else None
-    cost_ms = _measure(count, ask, profile)
+    cost_ms = _measure(count, send, profile)
     print(f'{kind}: {cost_ms:.3f} ms of a core each, {count} of them')
     if profile is not None:
         stats = pstats.Stats(profile)
-        stats.sort_stats('tottime').print_stats(SHOWN)
+        stats.sort_stats('tottime').print_stats(MAX_PROFILE_ROWS)
 
 
-def _measure(count, ask, profile):
+def _measure(count, send, profile):
     """Return the loop's processor time per request, in ms."""
     platform = users_platform.Platform()
     platform.put_state(users_documents.desired_state(1))
@@ -63,10 +65,10 @@
     )
     settings = msgspec.convert(document, entry_settings.EntrySettings)
     daemon = entry.EntryDaemon(settings, dialects.DIALECTS.lookup('users'))
-    asker = threading.Thread(
-        target=_ask_all, args=(daemon, ports['callers'], count, ask)
+    caller_thread = threading.Thread(
+        target=_send_all, args=(daemon, ports['callers'], count, send)
     )
-    asker.start()
+    caller_thread.start()
     started_s = time.thread_time()
     if profile is not None:
         profile.enable()
@@ -74,18 +76,18 @@
     if profile is not None:
         profile.disable()
     cost_ms = (time.thread_time() - started_s) * 1_000 / count
-    asker.join()
+    caller_thread.join()
     platform.stop()
     return cost_ms
 
 
-def _ask_all(daemon, port, count, ask):
+def _send_all(daemon, port, count, send):
     try:
         while not daemon.is_ready:
             time.sleep(0.02)
         with entry_process.Caller(port) as caller:
             for number in range(count):
-                answer = ask(caller, number)
+                answer = send(caller, number)
                 assert answer.status == 200, answer.status
     finally:
         daemon.loop.call_soon(daemon.loop.stop)
--- a/benchmarks/reporting/cost.py
+++ b/benchmarks/reporting/cost.py
@@ -29,7 +29,7 @@
 ACCOUNTS = 4_600
 # Time until every account has made one request.
 ALL_ACCOUNTS_S = ACCOUNTS / REQUESTS_PER_SECOND
-WARM_INTERVALS = 3
+WARMUP_INTERVALS = 3
 READS = 10
 
 MAX_CORE_SHARE = 0.012
@@ -47,7 +47,7 @@
     ]
     record_s = _record(recorder, facts)
     close_s, part, body = _close(recorder)
-    for _ in range(WARM_INTERVALS):
+    for _ in range(WARMUP_INTERVALS):
         _record(recorder, facts)
         recorder.close_interval(0)
     scrape_s = _scrape(recorder)
@@ -62,7 +62,7 @@
     print(f'object of {ACCOUNTS} accounts: {len(full_body)} bytes')
     print(f'rows of {ACCOUNTS} accounts in memory: {memory} bytes')
     print(f'reading one object: {_read(body) * 1e3:.1f} ms')
-    return _verdict(
+    return _check_bounds(
         ('share of a core', share, MAX_CORE_SHARE),
         ('bytes a second', len(body) / INTERVAL_S, MAX_BYTES_PER_SECOND),
         (
@@ -135,14 +135,14 @@
     return rows.encode(recorder.close_interval(0)), memory
 
 
-def _verdict(*measured: tuple[str, float, float]) -> int:
-    broken = 0
+def _check_bounds(*measured: tuple[str, float, float]) -> int:
+    exceeded = 0
     for name, value, bound in measured:
-        is_broken = value > bound
-        broken += is_broken
-        word = 'BROKEN' if is_broken else 'ok'
+        is_exceeded = value > bound
+        exceeded += is_exceeded
+        word = 'BROKEN' if is_exceeded else 'ok'
         print(f'{name}: {value:.5g} of {bound:.5g} ({word})')
-    return 1 if broken else 0
+    return 1 if exceeded else 0
 
 
 if __name__ == '__main__':
--- a/eelgrassknot/cli/commands/orders.py
+++ b/eelgrassknot/cli/commands/orders.py
@@ -41,7 +41,7 @@
 ) -> None:
     """Show lease holders, rollouts and the last order to each engine."""
     table = console.platform(context).table
-    book = OrdersOverview(
+    overview = OrdersOverview(
         _read_records(table, rows.LEASE_TABLE, rows.LeaseRecord),
         [
             row
@@ -59,9 +59,9 @@
         ],
     )
     if as_json:
-        console.print_json(book)
+        console.print_json(overview)
     else:
-        _print(book)
+        _print(overview)
 
 
 def _read_records(
@@ -89,23 +89,23 @@
             return record
 
 
-def _print(book: OrdersOverview) -> None:
+def _print(overview: OrdersOverview) -> None:
     console.print_table(
         ('region', 'epoch', 'holder', 'incarnation'),
         [
             (region, str(r.epoch), r.holder or '(nobody)', r.incarnation)
-            for region, r in book.leases.items()
+            for region, r in overview.leases.items()
         ],
     )
     typer.echo()
     console.print_table(
         ('region', 'service', 'rollout', 'model', 'version', 'canary'),
-        [_rollout_row(row) for row in book.rollouts],
+        [_rollout_row(row) for row in overview.rollouts],
     )
     typer.echo()
     console.print_table(
         ('time', 'service', 'engine', 'order', 'state', 'by', 'fencing'),
-        [_order_row(row) for row in book.orders],
+        [_order_row(row) for row in overview.orders],
     )
 
 
--- a/eelgrassknot/cli/console.py
+++ b/eelgrassknot/cli/console.py
@@ -92,8 +92,8 @@
 def fail(error: exceptions.EelgrassknotError) -> typing.NoReturn:
     """Print an error with its remedy and exit with its exit code."""
     typer.echo(f'error: {error}', err=True)
-    is_unclear = isinstance(error, _UNKNOWN_OUTCOME_ERRORS)
-    code = ExitCode.UNREACHABLE_OR_UNKNOWN if is_unclear else ExitCode.REFUSED
+    is_unknown = isinstance(error, _UNKNOWN_OUTCOME_ERRORS)
+    code = ExitCode.UNREACHABLE_OR_UNKNOWN if is_unknown else ExitCode.REFUSED
     raise typer.Exit(code)
 
 
--- a/eelgrassknot/reporting/audit.py
+++ b/eelgrassknot/reporting/audit.py
@@ -78,13 +78,13 @@
         f' by {record.author} ({services}): {record.summary}'
     )
     for change in record.changes:
-        before, after = _short(change.before), _short(change.after)
+        before, after = _truncate(change.before), _truncate(change.after)
         yield f'    {change.path}: {before} -> {after}'
     for name, value in record.detail.items():
-        yield f'    {name}: {_short(value)}'
+        yield f'    {name}: {_truncate(value)}'
 
 
-def _short(value: object) -> str:
+def _truncate(value: object) -> str:
     text = json.dumps(value)
     if len(text) > MAX_VALUE_CHARACTERS:
         return text[:MAX_VALUE_CHARACTERS] + '...'
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -112,10 +112,10 @@
             self.stopped.wait(pause_s)
 
     def _run_stream(self, name: str, generator: random.Random) -> None:
-        wanted = 1 + round(
+        length = 1 + round(
             generator.expovariate(1 / self.workload.mean_tokens)
         )
-        record = stream_caller.new_record(name, wanted, self.clock.now_ms())
+        record = stream_caller.new_record(name, length, self.clock.now_ms())
         self.streams.append(record)
         stream = stream_caller.Stream(self, record, generator)
         bearer = generator.choice(self.workload.keys)
@@ -126,7 +126,7 @@
             draw
             < self.workload.unstreamed_share + self.workload.abandoned_share
         ):
-            stream.abandon_after = generator.randint(1, wanted)
+            stream.abandon_after = generator.randint(1, length)
             stream.run(bearer)
         else:
             stream.run(bearer)
--- a/standins/checkers.py
+++ b/standins/checkers.py
@@ -104,11 +104,11 @@
     answers = collections.defaultdict(set)
     for call in history.calls:
         if call.key and call.outcome in ('done', 'failed'):
-            told = (call.outcome, call.status)
-            answers[call.key].add(told)
-    for key, told in answers.items():
-        if len(told) > 1:
-            yield f'key {key}', f'answered with {sorted(told)}'
+            response = (call.outcome, call.status)
+            answers[call.key].add(response)
+    for key, responses in answers.items():
+        if len(responses) > 1:
+            yield f'key {key}', f'answered with {sorted(responses)}'
 
 
 @_checker('not_run_never_ran')
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -153,11 +153,11 @@
         return arguments
 
     def _plan_entry_vms(self, example: examples.Example) -> None:
-        wanted = dict(self.shape.entry_vms)
+        remaining = dict(self.shape.entry_vms)
         for settings in example.settings:
             zone = settings.availability_zone
-            if wanted.get(zone, 0) > 0:
-                wanted[zone] -= 1
+            if remaining.get(zone, 0) > 0:
+                remaining[zone] -= 1
                 self._plan_entry_vm(settings)
 
     def _plan_entry_vm(self, settings: vm_settings.VmSettings) -> None:
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -57,7 +57,7 @@
         load.EntryPoint(vm, settings.listen.callers)
         for vm, settings in cluster.settings.items()
     ]
-    mix = load.Workload(
+    workload = load.Workload(
         'shop-assistant',
         'desk-app',
         '/availability',
@@ -65,14 +65,14 @@
         tuple(cluster.account_keys.values()),
         mean_tokens=40,
     )
-    callers = load.Callers(mix, entry_points, seed=1)
+    callers = load.Callers(workload, entry_points, seed=1)
     _print(
         f'{STREAM_CALLERS} callers of shop-assistant and '
         f'{PLAIN_CALLERS} of desk-app for {LOAD_S:g} s'
     )
     callers.start(STREAM_CALLERS, PLAIN_CALLERS)
     time.sleep(LOAD_S)
-    answer = _kill_entry_vm(cluster, mix, entry_points, callers)
+    answer = _kill_entry_vm(cluster, workload, entry_points, callers)
     time.sleep(LOAD_S)
     callers.stop()
     return _collect_history(cluster, callers, answer)
@@ -80,7 +80,7 @@
 
 def _kill_entry_vm(
     cluster: clusters.Cluster,
-    mix: load.Workload,
+    workload: load.Workload,
     entry_points: list[load.EntryPoint],
     callers: load.Callers,
 ) -> histories.StreamRecord:
@@ -90,9 +90,9 @@
         LONG_ANSWER_TOKENS,
         clocks.MonotonicClock().now_ms(),
     )
-    single = load.Callers(mix, [first], seed=2)
+    single = load.Callers(workload, [first], seed=2)
     stream = stream_caller.Stream(single, record, random.Random(2))
-    thread = threading.Thread(target=stream.run, args=(mix.keys[0],))
+    thread = threading.Thread(target=stream.run, args=(workload.keys[0],))
     thread.start()
     _print(f'an answer of {LONG_ANSWER_TOKENS} tokens starts at {first.vm}')
     processes.wait_until(
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -217,7 +217,7 @@
             with self.lock:
                 self._await_token(generation, state, index)
                 produced = state.produced
-                over = state.state
+                current_state = state.state
                 muted = self.control.mute_streams
             if muted:
                 time.sleep(IDLE_POLL_S)
@@ -225,10 +225,10 @@
             while index < produced:
                 yield engine_wire.token_event(state, index)
                 index += 1
-            if over == 'done':
+            if current_state == 'done':
                 yield engine_wire.DONE_EVENT
                 return
-            if over == 'cancelled':
+            if current_state == 'cancelled':
                 return
 
     def _await_token(
--- a/standins/engine_model.py
+++ b/standins/engine_model.py
@@ -204,9 +204,9 @@
     def _output(
         self, request_id: str, prompt: str, max_tokens: int | None
     ) -> tuple[int, str]:
-        wish = _TOKENS_PATTERN.search(prompt)
-        if wish is not None:
-            length = int(wish[1])
+        match = _TOKENS_PATTERN.search(prompt)
+        if match is not None:
+            length = int(match[1])
         else:
             generator = random.Random(f'{self.seed}/{request_id}')
             median = math.log(self.config.mean_output_tokens)
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -30,10 +30,10 @@
 
     def open_links(self, request: wrappers.Request) -> wrappers.Response:
         """Open listeners and return their addresses."""
-        wanted = msgspec.json.decode(
+        links = msgspec.json.decode(
             request.get_data(), type=list[proxy_loop.LinkRequest]
         )
-        opened = self.loop.call(lambda: self.loop.open_links(wanted))
+        opened = self.loop.call(lambda: self.loop.open_links(links))
         return serving.json_answer(opened)
 
     def get_links(self, request: wrappers.Request) -> wrappers.Response:
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -221,10 +221,10 @@
         'half of the store answers are lost after the commit'
     )
     platform = context.cluster.platform
-    lost = {'lose_answers': {'probability': 0.5}}
-    context.cluster.set_control(platform, lost)
-    kept = {'lose_answers': {'probability': 0.0}}
-    return lambda: context.cluster.set_control(platform, kept)
+    enabled = {'lose_answers': {'probability': 0.5}}
+    context.cluster.set_control(platform, enabled)
+    disabled = {'lose_answers': {'probability': 0.0}}
+    return lambda: context.cluster.set_control(platform, disabled)
 
 
 @_fault('zone_partition', preserves_connections=True)
@@ -256,11 +256,13 @@
     context.log.record_event('the link between regions is throttled')
     proxy = context.cluster.proxy.address
     slow = {topologies.LINK_GROUP: STALLED_LINK_BITS_PER_SECOND}
-    whole = {topologies.LINK_GROUP: context.cluster.shape.link_bits_per_second}
+    normal = {
+        topologies.LINK_GROUP: context.cluster.shape.link_bits_per_second
+    }
     processes.ask(proxy, 'POST', '/groups', slow)
 
     def heal() -> None:
-        processes.ask(proxy, 'POST', '/groups', whole)
+        processes.ask(proxy, 'POST', '/groups', normal)
 
     return heal
 
@@ -329,13 +331,13 @@
     def fault(context: FaultContext) -> Heal:
         context.log.record_event(f'a third of the plain answers: {kind}')
         for plain in context.cluster.plains():
-            struck = {kind: {'probability': PLAIN_PROBABILITY}}
-            context.cluster.set_control(plain.child, struck)
+            enabled = {kind: {'probability': PLAIN_PROBABILITY}}
+            context.cluster.set_control(plain.child, enabled)
 
         def heal() -> None:
             for plain in context.cluster.plains():
-                kept = {kind: {'probability': 0.0}}
-                context.cluster.set_control(plain.child, kept)
+                disabled = {kind: {'probability': 0.0}}
+                context.cluster.set_control(plain.child, disabled)
 
         return heal
 
--- a/standins/plain_caller.py
+++ b/standins/plain_caller.py
@@ -28,7 +28,7 @@
     LOOKUP = 'lookup'
     UNKEYED = 'unkeyed'
     KEYED = 'keyed'
-    HASTY = 'hasty'
+    IMPATIENT = 'hasty'
     RACED = 'raced'
 
 
@@ -73,7 +73,7 @@
 
     def _attempt(self, bearer: str, attempt: str) -> histories.CallRecord:
         is_lookup = self.kind is Kind.LOOKUP
-        has_key = self.kind in (Kind.KEYED, Kind.HASTY, Kind.RACED)
+        has_key = self.kind in (Kind.KEYED, Kind.IMPATIENT, Kind.RACED)
         record = histories.CallRecord(
             f'{self.name}-{attempt}',
             f'key-{self.name}' if has_key else None,
@@ -82,12 +82,12 @@
             self.callers.clock.now_ms(),
         )
         self.callers.calls.append(record)
-        is_hasty = self.kind is Kind.HASTY and attempt == '0'
-        patience_s = self.callers.workload.progress_timeout_s
+        is_impatient = self.kind is Kind.IMPATIENT and attempt == '0'
+        timeout_s = self.callers.workload.progress_timeout_s
         self._send(
-            record, bearer, IMPATIENT_TIMEOUT_S if is_hasty else patience_s
+            record, bearer, IMPATIENT_TIMEOUT_S if is_impatient else timeout_s
         )
-        if is_hasty and record.outcome == 'cut':
+        if is_impatient and record.outcome == 'cut':
             record.outcome = 'left'
         record.ended_ms = self.callers.clock.now_ms()
         return record
@@ -120,14 +120,14 @@
         record: histories.CallRecord,
         bearer: str,
     ) -> None:
-        mix = self.callers.workload
-        path = mix.lookup if record.idempotent else mix.booking
+        workload = self.callers.workload
+        path = workload.lookup if record.idempotent else workload.booking
         headers = stream_caller.headers(bearer, record.request_id)
         if record.key:
             headers['Idempotency-Key'] = record.key
         connection.request(
             'GET' if record.idempotent else 'POST',
-            f'/services/{mix.plain}{path}',
+            f'/services/{workload.plain}{path}',
             record.body or None,
             headers,
         )
--- a/standins/recorder.py
+++ b/standins/recorder.py
@@ -88,16 +88,16 @@
     def collect_history(self, upstream: topologies.Upstream) -> None:
         """Fetch the history of an upstream."""
         self.collected.add(upstream.vm)
-        told = processes.ask_json(
+        history = processes.ask_json(
             upstream.child.address, 'GET', '/control/history'
         )
         if upstream.kind is states.VmKind.ENGINE:
-            self._add_generations(upstream.vm, told)
+            self._add_generations(upstream.vm, history)
         else:
-            self._add_executions(upstream.vm, told)
+            self._add_executions(upstream.vm, history)
 
-    def _add_generations(self, vm: str, told: dict) -> None:
-        for each in told.get('generations', []):
+    def _add_generations(self, vm: str, history: dict) -> None:
+        for each in history.get('generations', []):
             self.history.generations.append(
                 histories.EngineGeneration(
                     vm,
@@ -109,8 +109,8 @@
                 )
             )
 
-    def _add_executions(self, vm: str, told: dict) -> None:
-        for each in told.get('executions', []):
+    def _add_executions(self, vm: str, history: dict) -> None:
+        for each in history.get('executions', []):
             self.history.executions.append(
                 histories.Execution(
                     vm,
--- a/standins/users_store.py
+++ b/standins/users_store.py
@@ -54,9 +54,9 @@
         if platform.is_down:
             self.answer(503, {}, b'')
             return
-        for wanted in body['expectedRev']:
-            row = platform.rows.get((wanted['table'], wanted['key']))
-            if (row[1] if row else 0) != wanted['ver']:
+        for expected in body['expectedRev']:
+            row = platform.rows.get((expected['table'], expected['key']))
+            if (row[1] if row else 0) != expected['ver']:
                 self.send_rows([], 412)
                 return
         for entry in body['writes']:
--- a/standins/users_upstream.py
+++ b/standins/users_upstream.py
@@ -47,32 +47,32 @@
 
     def call(self, request: str, fault: str, body: bytes) -> None:
         headers = {'Request-Id': request, 'Server-Stamp': f's-{request}'}
-        whole = b'answer to ' + request.encode() + b' ' + body
+        complete = b'answer to ' + request.encode() + b' ' + body
         if fault == 'vanish':
             self.close_connection = True
         elif fault == 'cut':
             self.send_response_only(200)
             for name, value in headers.items():
                 self.send_header(name, value)
-            self.send_header('Content-Length', str(len(whole)))
+            self.send_header('Content-Length', str(len(complete)))
             self.end_headers()
-            self.wfile.write(whole[:-3])
+            self.wfile.write(complete[:-3])
             self.close_connection = True
         elif fault == 'unframed':
             self.send_response_only(200)
             for name, value in headers.items():
                 self.send_header(name, value)
             self.end_headers()
-            self.wfile.write(whole)
+            self.wfile.write(complete)
             self.close_connection = True
         elif fault == 'forged':
-            self.answer(200, {'Request-Id': request}, whole)
+            self.answer(200, {'Request-Id': request}, complete)
         else:
-            self.answer(200, headers, whole)
+            self.answer(200, headers, complete)
             if fault == 'extra':
                 # Arrives while the next answer is expected.
                 threading.Timer(
-                    0.05, self.answer, (200, headers, whole)
+                    0.05, self.answer, (200, headers, complete)
                 ).start()
 
     def stream(self, request: str) -> None:
--- a/tests/entry_soak.py
+++ b/tests/entry_soak.py
@@ -23,10 +23,10 @@
 
 ROUND_S = 10.0
 CALLERS = 6
-AFTER_FAILURE_S = 0.05
+RETRY_PAUSE_S = 0.05
 KEY_BOUND_MS = 5_000
 RECOVERY_S = 15.0
-REST_S = (0.1, 1.2)
+FAULT_PAUSE_S = (0.1, 1.2)
 """Pause between two faults, in s; most faults last longer and overlap."""
 LINK_FAULTS = ('reset', 'old', 'requests', 'answers', 'all', 'slow')
 
@@ -59,7 +59,7 @@
             vm: f'z{number % zones}' for number, vm in enumerate(self.names)
         }
         self.entries = {vm: self.start_entry(vm) for vm in self.names}
-        self.told_to_end = set()
+        self.signalled = set()
         self.timers = []
         self.stopping = threading.Event()
         self.faults = []
@@ -89,7 +89,9 @@
         for entry in self.entries.values():
             entry.wait_ready()
         callers = [
-            threading.Thread(target=self.call_on, args=(number,), daemon=True)
+            threading.Thread(
+                target=self.run_caller, args=(number,), daemon=True
+            )
             for number in range(CALLERS)
         ]
         for caller in callers:
@@ -97,11 +99,11 @@
         end_s = time.monotonic() + self.length_s
         while time.monotonic() < end_s:
             self.inject()
-            time.sleep(self.generator.uniform(*REST_S))
+            time.sleep(self.generator.uniform(*FAULT_PAUSE_S))
         for timer in self.timers:
             timer.join()
         self.heal()
-        self.await_recovery()
+        self.wait_for_recovery()
         self.stopping.set()
         for caller in callers:
             caller.join()
@@ -112,14 +114,14 @@
     def inject(self):
         """Inject one random fault."""
         faults = (
-            (4, self.freeze),
-            (3, self.kill),
-            (2, self.terminate),
+            (4, self.pause_vm),
+            (3, self.kill_vm),
+            (2, self.drain_vm),
             (4, self.fail_link),
-            (1, self.store_away),
-            (2, self.store_loses),
+            (1, self.take_store_down),
+            (2, self.lose_store_data),
             (3, self.change_servers),
-            (2, self.shed),
+            (2, self.fail_requests),
             (2, self.change_keys),
         )
         weights = [weight for weight, _ in faults]
@@ -127,43 +129,43 @@
         self.faults.append(fault.__name__)
         fault()
 
-    def later(self, delay_s, action):
+    def schedule(self, delay_s, action):
         """Call a function after a delay, from another thread."""
         timer = threading.Timer(delay_s, action)
         timer.start()
         self.timers.append(timer)
 
-    def freeze(self):
+    def pause_vm(self):
         """Pause a VM and resume it later."""
         process = self.entries[self.generator.choice(self.names)].process
         process.send_signal(signal.SIGSTOP)
         delay_s = self.generator.uniform(0.1, 3.0)
-        self.later(delay_s, lambda: process.send_signal(signal.SIGCONT))
+        self.schedule(delay_s, lambda: process.send_signal(signal.SIGCONT))
 
-    def kill(self):
+    def kill_vm(self):
         """Kill a VM and restart it."""
-        self.replace(signal.SIGKILL)
+        self.restart_vm(signal.SIGKILL)
 
-    def terminate(self):
+    def drain_vm(self):
         """Drain a VM and restart it after it has exited."""
-        self.replace(signal.SIGTERM)
+        self.restart_vm(signal.SIGTERM)
 
-    def replace(self, number):
+    def restart_vm(self, number):
         """Send a VM a signal that ends it, and restart it afterwards."""
         vm = self.generator.choice(self.names)
         old = self.entries[vm]
-        if old.process in self.told_to_end:
+        if old.process in self.signalled:
             return
-        self.told_to_end.add(old.process)
+        self.signalled.add(old.process)
         old.process.send_signal(signal.SIGCONT)
         old.process.send_signal(number)
 
-        def start_again():
+        def restart():
             old.process.wait()
             old.stop()
             self.entries[vm] = self.start_entry(vm)
 
-        self.later(0.1, start_again)
+        self.schedule(0.1, restart)
 
     def fail_link(self):
         """Inject a temporary fault on a link."""
@@ -171,34 +173,38 @@
         name = self.generator.choice(links)
         fault = self.generator.choice(LINK_FAULTS)
         if fault == 'slow':
-            self.set_link(name, delay_ms=self.generator.uniform(20, 300))
+            self.set_link_faults(
+                name, delay_ms=self.generator.uniform(20, 300)
+            )
         elif fault == 'reset':
-            self.set_link(name, reset=True)
+            self.set_link_faults(name, reset=True)
         else:
-            self.set_link(name, black_hole=fault)
+            self.set_link_faults(name, black_hole=fault)
         delay_s = self.generator.uniform(0.2, 3.0)
-        self.later(
+        self.schedule(
             delay_s,
-            lambda: self.set_link(name, black_hole='none', delay_ms=0.0),
+            lambda: self.set_link_faults(
+                name, black_hole='none', delay_ms=0.0
+            ),
         )
 
-    def set_link(self, name, **fault):
+    def set_link_faults(self, name, **fault):
         """Set faults of a link."""
         # Links are selected by substring. The trailing slash prevents a
         # name from matching longer names.
         order = proxy_loop.FaultRequest([f'{name}/'], **fault)
         self.proxy.call(lambda: self.proxy.set_faults(order))
 
-    def store_away(self):
+    def take_store_down(self):
         """Make the store refuse all calls temporarily."""
         self.platform.is_down = True
-        self.later(self.generator.uniform(0.2, 3.0), self.store_back)
+        self.schedule(self.generator.uniform(0.2, 3.0), self.restore_store)
 
-    def store_back(self):
+    def restore_store(self):
         """Make the store answer again."""
         self.platform.is_down = False
 
-    def store_loses(self):
+    def lose_store_data(self):
         """Lose some answers of the store, or its change history."""
         if self.generator.random() < 0.5:
             self.platform.answers_to_lose = self.generator.randint(1, 5)
@@ -210,22 +216,22 @@
         name = self.generator.choice(list(self.servers))
         server = self.servers.pop(name)
         self.start_server(server.service)
-        how = self.generator.choice(('leave', 'crash', 'lapse'))
-        if how == 'leave':
+        kind = self.generator.choice(('leave', 'crash', 'lapse'))
+        if kind == 'leave':
             server.publish_state('draining')
-        elif how == 'lapse':
+        elif kind == 'lapse':
             self.platform.put('servers', name, None)
         else:
             server.crash()
 
-        def go():
+        def withdraw():
             self.platform.put('servers', name, None)
-            if how != 'crash':
+            if kind != 'crash':
                 server.crash()
 
-        self.later(self.generator.uniform(1.5, 2.5), go)
+        self.schedule(self.generator.uniform(1.5, 2.5), withdraw)
 
-    def shed(self):
+    def fail_requests(self):
         """Inject a fault into the next requests of a server."""
         server = self.servers[self.generator.choice(list(self.servers))]
         fault = self.generator.choice(('shed', 'cut', 'vanish', 'extra'))
@@ -243,16 +249,16 @@
 
     def heal(self):
         """Remove all faults of links and the store."""
-        self.store_back()
+        self.restore_store()
         self.platform.answers_to_lose = 0
         for name in self.proxy.links:
-            self.set_link(
+            self.set_link_faults(
                 name.rstrip('/'), black_hole='none', reset=True, delay_ms=0.0
             )
 
     # Callers
 
-    def call_on(self, number):
+    def run_caller(self, number):
         """Send requests sequentially over persistent connections."""
         generator = random.Random(number)
         caller, vm, count = None, None, 0
@@ -272,9 +278,9 @@
                 time.monotonic(),
             )
             self.record.calls.append(call)
-            is_kept = self.ask(caller, call)
+            is_kept = self.send(caller, call)
             if call.status != 200:
-                time.sleep(AFTER_FAILURE_S)
+                time.sleep(RETRY_PAUSE_S)
             if not is_kept or generator.random() < 0.1:
                 caller.stream.close()
                 caller = None
@@ -286,7 +292,7 @@
         except OSError:
             return None
 
-    def ask(self, caller, call):
+    def send(self, caller, call):
         """Send a request; return whether the connection stays open."""
         headers = {
             'Request-Id': call.request,
@@ -306,7 +312,7 @@
 
     # Recovery and shutdown
 
-    def await_recovery(self):
+    def wait_for_recovery(self):
         """Record the VMs that do not recover after all faults ended."""
         end_s = time.monotonic() + RECOVERY_S
         for vm in self.names:
@@ -325,7 +331,7 @@
         if caller is None:
             return False
         call = entry_checks.Call('last', 'look', 'key-one', vm, 0.0)
-        self.ask(caller, call)
+        self.send(caller, call)
         caller.stream.close()
         return call.status == 200
 
@@ -333,7 +339,7 @@
         """Stop all processes and return the violations."""
         for vm, entry in self.entries.items():
             code = entry.process.poll()
-            if code is not None and entry.process not in self.told_to_end:
+            if code is not None and entry.process not in self.signalled:
                 self.record.ended.append(f'{vm} exited with {code}')
             entry.stop()
         self.platform.stop()
--- a/tests/run.py
+++ b/tests/run.py
@@ -17,11 +17,11 @@
 from behave import model_core
 from behave import runner as behave_runner
 
-__all__ = ['FeatureOutcome', 'known_red', 'main', 'run_feature']
+__all__ = ['FeatureOutcome', 'known_failures', 'main', 'run_feature']
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 TESTS = ROOT / 'tests'
-KNOWN_RED = ROOT / 'KNOWN-RED.txt'
+KNOWN_FAILURES_FILE = ROOT / 'KNOWN-RED.txt'
 PROCESSES_TAG = '@processes'
 WORKERS = 6
 PROCESS_FEATURE_WORKERS = 3
@@ -44,11 +44,11 @@
     output: str
 
 
-def known_red() -> set[str]:
+def known_failures() -> set[str]:
     """Return the names of scenarios listed as known failures."""
-    if not KNOWN_RED.exists():
+    if not KNOWN_FAILURES_FILE.exists():
         return set()
-    text = KNOWN_RED.read_text(encoding='utf-8')
+    text = KNOWN_FAILURES_FILE.read_text(encoding='utf-8')
     return {match['name'].strip() for match in _ENTRY.finditer(text)}
 
 
@@ -59,11 +59,11 @@
         arguments: Feature files or directories; all features if empty.
     """
     files = _feature_files(arguments or [str(TESTS)])
-    calm = [f for f in files if PROCESSES_TAG not in f.read_text()]
-    heavy = [f for f in files if f not in calm]
-    outcomes = _run_all(calm, WORKERS)
-    outcomes += _run_all(heavy, PROCESS_FEATURE_WORKERS)
-    return _verdict(outcomes)
+    regular = [f for f in files if PROCESSES_TAG not in f.read_text()]
+    with_processes = [f for f in files if f not in regular]
+    outcomes = _run_all(regular, WORKERS)
+    outcomes += _run_all(with_processes, PROCESS_FEATURE_WORKERS)
+    return _summarize(outcomes)
 
 
 def run_feature(path: str) -> FeatureOutcome:
@@ -83,7 +83,7 @@
         except Exception:
             output.write(traceback.format_exc())
             failed_run = True
-    passed, failed = _sort(run.features)
+    passed, failed = _scenario_names(run.features)
     broken = (failed_run and not failed) or not passed + failed
     return FeatureOutcome(
         path, tuple(passed), tuple(failed), broken, output.getvalue()
@@ -106,20 +106,22 @@
         futures = [executor.submit(run_feature, str(file)) for file in files]
         for future in concurrent.futures.as_completed(futures):
             outcome = future.result()
-            _show(outcome)
+            _print_outcome(outcome)
             outcomes.append(outcome)
     return outcomes
 
 
-def _show(outcome: FeatureOutcome) -> None:
+def _print_outcome(outcome: FeatureOutcome) -> None:
     name = pathlib.Path(outcome.path).relative_to(ROOT)
-    red = len(outcome.failed) + outcome.broken
-    print(f'{name}: {len(outcome.passed)} passed, {red} failed', flush=True)
-    if red:
+    failures = len(outcome.failed) + outcome.broken
+    print(
+        f'{name}: {len(outcome.passed)} passed, {failures} failed', flush=True
+    )
+    if failures:
         print(outcome.output, flush=True)
 
 
-def _sort(features: list) -> tuple[list[str], list[str]]:
+def _scenario_names(features: list) -> tuple[list[str], list[str]]:
     passed = []
     failed = []
     for feature in features:
@@ -132,22 +134,22 @@
     return passed, failed
 
 
-def _verdict(outcomes: list[FeatureOutcome]) -> int:
-    known = known_red()
+def _summarize(outcomes: list[FeatureOutcome]) -> int:
+    expected_failures = known_failures()
     passed = [name for outcome in outcomes for name in outcome.passed]
     failed = [name for outcome in outcomes for name in outcome.failed]
-    red = [name for name in failed if name not in known]
-    red += [f'the whole of {o.path}' for o in outcomes if o.broken]
-    for name in sorted(known.intersection(failed)):
+    unexpected = [name for name in failed if name not in expected_failures]
+    unexpected += [f'the whole of {o.path}' for o in outcomes if o.broken]
+    for name in sorted(expected_failures.intersection(failed)):
         print(f'known red: {name}')
-    for name in sorted(known.intersection(passed)):
+    for name in sorted(expected_failures.intersection(passed)):
         print(f'known red has turned green, take it off the list: {name}')
-    for name in sorted(known.difference(passed, failed)):
+    for name in sorted(expected_failures.difference(passed, failed)):
         print(f'known red, not among these scenarios: {name}')
-    for name in red:
+    for name in unexpected:
         print(f'red: {name}')
-    print(f'scenarios: {len(passed)} passed, {len(red)} failed')
-    return 0 if passed and not red else 1
+    print(f'scenarios: {len(passed)} passed, {len(unexpected)} failed')
+    return 0 if passed and not unexpected else 1
 
 
 if __name__ == '__main__':
--- a/tests/steps/reporting_coverage.py
+++ b/tests/steps/reporting_coverage.py
@@ -125,7 +125,7 @@
 
 
 @behave.when('the VM starts and is lost')
-def lost_at_once(context):
+def start_and_lose_vm(context):
     pass
 
 
@@ -170,7 +170,7 @@
 
 
 @behave.then('at most {count:d} parts are pending')
-def parts_wait(context, count):
+def parts_pending(context, count):
     assert len(context.part.pending.parts) <= count
     assert context.part.status()['report']['coalesced'] > 0
 
@@ -187,7 +187,7 @@
 @behave.then(
     'the stored report counts {count:d} requests with nothing missing'
 )
-def stored_whole(context, count):
+def stored_complete(context, count):
     stored_counts(context, count)
     coverage = stored_report(context).coverage
     assert not coverage.missing and not coverage.unreadable, coverage
@@ -207,7 +207,7 @@
 
 
 @behave.then('the stored report with "{vm}" listed names "{named}"')
-def names_silent(context, vm, named):
+def names_vm_without_parts(context, vm, named):
     missing = stored_report(context, [vm, 'nadi-1']).coverage.missing
     assert [entry.vm for entry in missing] == [named]
 
@@ -230,7 +230,7 @@
             context.part.write_interval()
 
 
-def exposed(context):
+def scrape_metrics(context):
     registry = prometheus_client.CollectorRegistry()
     registry.register(metrics.ReportCollector(context.part.recorder))
     return prometheus_client.generate_latest(registry).decode()
@@ -242,12 +242,12 @@
         'eelgrassknot_requests_total'
         f'{{outcome="done",service="shop-assistant"}} {count}.0'
     )
-    assert line in exposed(context).splitlines()
+    assert line in scrape_metrics(context).splitlines()
 
 
 @behave.then('the metrics contain at most {count:d} client accounts')
 def metrics_bound(context, count):
-    lines = exposed(context).splitlines()
+    lines = scrape_metrics(context).splitlines()
     name = 'eelgrassknot_account_requests_total{'
     assert len([line for line in lines if line.startswith(name)]) <= count
 
@@ -262,7 +262,7 @@
 @behave.then(
     'deletion with a retention of {days:f} days leaves {count:d} objects'
 )
-def deleting_leaves(context, days, count):
+def deletion_leaves(context, days, count):
     node = context.part.node
     node.generator = random.Random(1)
     node.text = types.SimpleNamespace(
@@ -293,6 +293,6 @@
 @behave.then(
     'once "{vm}" is known in "{region}" its {count:d} bytes are counted'
 )
-def stranger_counted(context, vm, region, count):
+def unlisted_counted(context, vm, region, count):
     context.traffic.set_region(vm, region)
     assert context.traffic.take_cross_region_bytes(context.sent) == count
--- a/tests/steps/reporting_report.py
+++ b/tests/steps/reporting_report.py
@@ -27,8 +27,8 @@
 )
 
 
-def report_of(recorders, **wanted):
-    merger = merge.Merger(messages.ReportFilter(0, END_MS, **wanted))
+def report_of(recorders, **report_filter):
+    merger = merge.Merger(messages.ReportFilter(0, END_MS, **report_filter))
     for recorder in recorders:
         merger.add(recorder.close_interval(END_MS))
     return merger.report(())
@@ -157,7 +157,7 @@
 
 
 @behave.then('the cost section shows')
-def money_says(context):
+def cost_section_shows(context):
     context.money = find_row(report_of(context.recorders).money)
     found = {
         'tokens_delivered': context.money.tokens_delivered,
@@ -266,7 +266,7 @@
 
 
 @behave.then('the page is self-contained with embedded plots')
-def page_is_whole(context):
+def page_is_self_contained(context):
     images = re.findall(r'<svg.*?</svg>', context.page, re.DOTALL)
     assert len(images) >= 4
     for svg in images:
--- a/tests/steps/standins_checkers.py
+++ b/tests/steps/standins_checkers.py
@@ -18,7 +18,7 @@
     return histories.ReceivedToken(text, 100.0 + index)
 
 
-def _sound():
+def _valid_history():
     tokens = [_token('s1', 'g1', i) for i in range(TOKENS)]
     call = histories.CallRecord
     return histories.History(
@@ -72,11 +72,11 @@
     tokens[2], tokens[3] = tokens[3], tokens[2]
 
 
-def _mix(h):
+def _change_generation(h):
     h.streams[0].tokens[-1] = _token('s1', 'g9', TOKENS - 1)
 
 
-def _cross(h):
+def _change_request(h):
     h.streams[0].tokens = [_token('s7', 'g1', i) for i in range(TOKENS)]
 
 
@@ -100,20 +100,20 @@
     h.generations[1].produced = 1
 
 
-def _behind(h):
+def _keep_old_version(h):
     h.configs.append(histories.ConfigObservation('nadi-3', 'i4', 1, 20_000.0))
 
 
-def _fall(h):
+def _decrease_version(h):
     h.configs.append(histories.ConfigObservation('nadi-1', 'i2', 1, 95.0))
 
 
-BREAKS = {
+VIOLATIONS = {
     'a token delivered twice': _repeat,
     'a missing token': _omit,
     'two tokens in the wrong order': _swap,
-    'a token of another generation': _mix,
-    'tokens of another request': _cross,
+    'a token of another generation': _change_generation,
+    'tokens of another request': _change_request,
     'an end before the last token': lambda h: h.streams[0].tokens.pop(),
     'the answer of another call': lambda h: setattr(h.calls[0], 'answer', 'b'),
     'two answers to one key': _answer_twice,
@@ -128,23 +128,23 @@
         h.calls[1], 'outcome', 'cut'
     ),
     'a request cut by a drain': lambda h: h.cut_by_drain.append('s1'),
-    'a decreasing config version': _fall,
-    'a config that does not propagate': _behind,
+    'a decreasing config version': _decrease_version,
+    'a config that does not propagate': _keep_old_version,
 }
 
 
 @behave.given('a valid history of a round')
-def given_sound(context):
-    context.history = _sound()
+def given_valid_history(context):
+    context.history = _valid_history()
 
 
 @behave.when('the history is changed to contain {fault}')
-def break_history(context, fault):
-    BREAKS[fault](context.history)
+def violate(context, fault):
+    VIOLATIONS[fault](context.history)
 
 
 @behave.then('the checkers find no violation')
-def find_nothing(context):
+def find_no_violation(context):
     assert checkers.check(context.history) == []
 
 
@@ -164,7 +164,7 @@
     )
     @hypothesis.settings(max_examples=40, deadline=None)
     def caught(place, change):
-        history = copy.deepcopy(_sound())
+        history = copy.deepcopy(_valid_history())
         tokens = history.streams[0].tokens
         match change:
             case 'drop':
--- a/tests/steps/standins_engine_model.py
+++ b/tests/steps/standins_engine_model.py
@@ -12,9 +12,9 @@
     return engine_model.EngineModel(config, seed=1)
 
 
-def _submit(engine, name, tokens, urgent=True):
+def _submit(engine, name, tokens, is_interactive=True):
     return engine.submit(
-        name, f'r-{name}', f'tokens={tokens}', None, urgent, 0
+        name, f'r-{name}', f'tokens={tokens}', None, is_interactive, 0
     )
 
 
@@ -28,7 +28,7 @@
     return [h.generation for h in events if isinstance(h, engine_model.Ended)]
 
 
-def _victims(events):
+def _preempted_ids(events):
     return {
         h.generation for h in events if isinstance(h, engine_model.Preempted)
     }
@@ -47,8 +47,8 @@
     @hypothesis.settings(max_examples=40, deadline=None)
     def holds(jobs, kv_tokens):
         engine = _engine(kv_tokens)
-        for number, (tokens, urgent) in enumerate(jobs):
-            _submit(engine, str(number), tokens, urgent)
+        for number, (tokens, is_interactive) in enumerate(jobs):
+            _submit(engine, str(number), tokens, is_interactive)
         seen = {str(number): [] for number in range(len(jobs))}
         now_ms = 0.0
         while engine.running or engine.waiting:
@@ -82,7 +82,7 @@
 
 @behave.when('a batch generation "{name}" of {tokens:d} tokens is submitted')
 def submit_batch(context, name, tokens):
-    _submit(context.engine, name, tokens, urgent=False)
+    _submit(context.engine, name, tokens, is_interactive=False)
     context.engine.advance(400.0)
 
 
@@ -96,7 +96,7 @@
 @behave.then('"{victim}" is preempted and "{first}" ends first')
 def preempted(context, victim, first):
     events = _run(context.engine)
-    assert _victims(events) == {victim}
+    assert _preempted_ids(events) == {victim}
     assert _ends(events)[0] == first
 
 
--- a/tests/steps/standins_fault_proxy.py
+++ b/tests/steps/standins_fault_proxy.py
@@ -12,7 +12,7 @@
 
 from standins import proxy_loop
 
-GENEROUS_S = 20.0
+TIMEOUT_S = 20.0
 DELAY_MS = 60.0
 
 
@@ -54,7 +54,7 @@
 
 
 def _connect(context):
-    connection = socket.create_connection(context.address, GENEROUS_S)
+    connection = socket.create_connection(context.address, TIMEOUT_S)
     context.add_cleanup(connection.close)
     return connection
 
@@ -74,7 +74,7 @@
 
 
 @behave.when('the open connections become black holes')
-def fall_silent(context):
+def become_black_holes(context):
     _fault(context, black_hole='old')
 
 
@@ -153,19 +153,19 @@
     for thread in threads:
         thread.start()
     for thread in threads:
-        thread.join(GENEROUS_S)
+        thread.join(TIMEOUT_S)
     least_s = 2 * len(data) * 8 / bits
     assert time.monotonic() - began_s >= least_s
 
 
 @behave.then('a large body is echoed unchanged')
 def large_body(context):
-    context.old.settimeout(GENEROUS_S)
+    context.old.settimeout(TIMEOUT_S)
     data = bytes(range(256)) * 8_000
     sender = threading.Thread(target=context.old.sendall, args=(data,))
     sender.start()
     received = bytearray()
     while len(received) < len(data):
         received += context.old.recv(65_536)
-    sender.join(GENEROUS_S)
+    sender.join(TIMEOUT_S)
     assert bytes(received) == data
--- a/tests/steps/standins_wire.py
+++ b/tests/steps/standins_wire.py
@@ -121,8 +121,8 @@
     )
     for _ in range(2):
         assert _ask(context, 'DELETE', path)[0] == 200
-    _, told = _ask(context, 'GET', f'{path}/status')
-    assert told['state'] == 'cancelled'
+    _, answer = _ask(context, 'GET', f'{path}/status')
+    assert answer['state'] == 'cancelled'
 
 
 @behave.then('an unknown generation is not found')
@@ -138,10 +138,10 @@
     order = {'order': 'set_version', 'model': 'model', 'version': '9'}
     status, _ = _ask(context, 'POST', '/orders', {**order, 'fencing': taken})
     assert status == 202
-    status, told = _ask(
+    status, answer = _ask(
         context, 'POST', '/orders', {**order, 'fencing': refused}
     )
-    assert (status, told) == (409, {'error': 'stale_fencing', 'seen': taken})
+    assert (status, answer) == (409, {'error': 'stale_fencing', 'seen': taken})
 
 
 @behave.then('the ordered version is loaded after the load time')
@@ -172,16 +172,16 @@
 
 
 @behave.then('its row exists')
-def row_is_there(context):
+def row_exists(context):
     _, row = _ask(context, 'GET', '/rows/a/k')
     assert row == {'value': 1, 'version': 1}
 
 
 @behave.then('a repetition of the transaction conflicts')
 def repeat_conflicts(context):
-    status, told = _ask(context, 'POST', '/transactions', TRANSACTION)
+    status, answer = _ask(context, 'POST', '/transactions', TRANSACTION)
     assert status == 409
-    assert told['failed'] == {'table': 'a', 'key': 'k', 'version': 1}
+    assert answer['failed'] == {'table': 'a', 'key': 'k', 'version': 1}
 
 
 @behave.when('the list changes while it lags')
--- a/tests/system/broken_daemon.py
+++ b/tests/system/broken_daemon.py
@@ -16,10 +16,10 @@
 from eelgrassknot.kernel import events
 from eelgrassknot import states
 
-__all__ = ['DEFECTS', 'VARIABLE']
+__all__ = ['DEFECTS', 'DEFECTS_VARIABLE']
 
-VARIABLE = 'DEFECTS'
-EVERY_TOKENS = 20
+DEFECTS_VARIABLE = 'DEFECTS'
+DEFECT_TOKEN_INTERVAL = 20
 CUT_EXIT_CODE = 0
 
 
@@ -29,7 +29,11 @@
 
 
 def _times(token):
-    return 2 if token.index % EVERY_TOKENS == EVERY_TOKENS - 1 else 1
+    return (
+        2
+        if token.index % DEFECT_TOKEN_INTERVAL == DEFECT_TOKEN_INTERVAL - 1
+        else 1
+    )
 
 
 def _omit_tokens():
@@ -38,10 +42,10 @@
 
 
 def _wrap_events(change):
-    plain = openai.AnswerEncoder.event_encoder
+    original = openai.AnswerEncoder.event_encoder
 
     def event_encoder(self, cursor):
-        encode = plain(self, cursor)
+        encode = original(self, cursor)
         return lambda token: change(token, encode(token))
 
     openai.AnswerEncoder.event_encoder = event_encoder
@@ -49,20 +53,20 @@
 
 def _repeat_calls():
     """Send every POST to an upstream twice."""
-    plain = http_client.request
+    original = http_client.request
 
     def request(method, url, *args, **kwargs):
         # Requests to the platform are sent only once.
         if method == 'POST' and '/views/' not in url:
-            plain(method, url, *args, **kwargs)
-        return plain(method, url, *args, **kwargs)
+            original(method, url, *args, **kwargs)
+        return original(method, url, *args, **kwargs)
 
     http_client.request = request
 
 
-def _lie_not_run():
+def _report_not_run():
     """Report every unknown outcome as not run."""
-    plain = errors.response
+    original = errors.response
 
     def response(status, body, *args, **kwargs):
         if body.outcome is states.Outcome.UNKNOWN:
@@ -74,22 +78,22 @@
                 outcome=states.Outcome.NOT_RUN,
                 request_id=body.request_id,
             )
-        return plain(status, body, *args, **kwargs)
+        return original(status, body, *args, **kwargs)
 
     errors.response = response
 
 
-def _end_at_once():
+def _exit_immediately():
     """Exit on SIGTERM without draining."""
     signal.signal = lambda *_: None
 
 
 def _ignore_leaving():
     """Treat every upstream as live."""
-    plain = events.UpstreamInfo.__init__
+    original = events.UpstreamInfo.__init__
 
     def init(self, *args, **kwargs):
-        plain(self, *args, **kwargs)
+        original(self, *args, **kwargs)
         object.__setattr__(self, 'state', states.UpstreamState.LIVE)
 
     events.UpstreamInfo.__init__ = init
@@ -97,14 +101,14 @@
 
 def _revert_config():
     """Report a lower version in every second status document."""
-    plain = operators.OperatorsPart.document
-    asked = []
+    original = operators.OperatorsPart.document
+    requests = []
 
     def document(self):
-        asked.append(None)
-        told = plain(self)
-        told['config_version'] -= len(asked) % 2
-        return told
+        requests.append(None)
+        status = original(self)
+        status['config_version'] -= len(requests) % 2
+        return status
 
     operators.OperatorsPart.document = document
 
@@ -113,8 +117,8 @@
     'repeat_tokens': _repeat_tokens,
     'omit_tokens': _omit_tokens,
     'repeat_calls': _repeat_calls,
-    'lie_not_run': _lie_not_run,
-    'end_at_once': _end_at_once,
+    'lie_not_run': _report_not_run,
+    'end_at_once': _exit_immediately,
     'ignore_leaving': _ignore_leaving,
     'revert_config': _revert_config,
 }
@@ -122,7 +126,7 @@
 
 def main():
     """Apply the defects and run the daemon."""
-    for name in os.environ[VARIABLE].split(','):
+    for name in os.environ[DEFECTS_VARIABLE].split(','):
         DEFECTS[name]()
     return daemon.main()
 
--- a/tests/system/controls.py
+++ b/tests/system/controls.py
@@ -16,7 +16,7 @@
 DIRECTORY = pathlib.Path('run/controls')
 MODULE = 'tests.system.broken_daemon'
 SEED = 4
-FULL_PACE = rounds.LoadProfile()
+FULL_PROFILE = rounds.LoadProfile()
 
 # Faults that expose each defect, and the checker that must detect it.
 CONTROLS = {
@@ -33,18 +33,18 @@
 def run_control(
     defects: tuple[str, ...],
     faults: tuple[str, ...],
-    pace: rounds.LoadProfile = FULL_PACE,
+    profile: rounds.LoadProfile = FULL_PROFILE,
     is_small: bool = False,
 ) -> set[str]:
     """Run a round with defective daemons; return the checkers that fired."""
-    os.environ[broken_daemon.VARIABLE] = ','.join(defects)
+    os.environ[broken_daemon.DEFECTS_VARIABLE] = ','.join(defects)
     try:
         one = rounds.Round(
-            SEED, DIRECTORY, faults, MODULE, 'nadroga', pace, is_small
+            SEED, DIRECTORY, faults, MODULE, 'nadroga', profile, is_small
         )
         return {v.checker for v in one.run().violations}
     finally:
-        del os.environ[broken_daemon.VARIABLE]
+        del os.environ[broken_daemon.DEFECTS_VARIABLE]
 
 
 def main() -> int:
@@ -52,11 +52,11 @@
     escaped = 0
     for defect, (faults, checker) in CONTROLS.items():
         fired = run_control((defect,), faults)
-        word = 'caught' if checker in fired else 'escaped'
+        result = 'caught' if checker in fired else 'escaped'
         escaped += checker not in fired
         print(
             f'control defect={defect} faults={"+".join(faults)} '
-            f'{word} by={",".join(sorted(fired))}',
+            f'{result} by={",".join(sorted(fired))}',
             flush=True,
         )
     return 1 if escaped else 0
