--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -19,9 +19,9 @@
 from eelgrassknot.coordination import lease
 from eelgrassknot.coordination import links
 from eelgrassknot.coordination import membership_part
-from eelgrassknot.coordination import observation
 from eelgrassknot.coordination import peer_codec
 from eelgrassknot.coordination import peer_messages as messages
+from eelgrassknot.coordination import poll_schedule
 from eelgrassknot.coordination import vm_list_part
 
 __all__ = ['Target', 'fit_plane', 'main']
@@ -171,14 +171,14 @@
     budget = max(membership_part.MIN_DIGEST_BYTES, share)
     loads = int(budget * digest.LOAD_SHARE // digest.LOAD_BYTES)
     left = budget - loads * digest.LOAD_BYTES
-    held = int(left * digest.HELD_SHARE // digest.HELD_BYTES)
+    held = int(left * digest.IN_FLIGHT_SHARE // digest.IN_FLIGHT_BYTES)
     observed = target.zone_upstreams / (peers + 1)
     streams = target.tokens_per_s / target.nodes * 0.029
     poll_ms = min(
-        observation.MAX_INTERVAL_MS,
+        poll_schedule.MAX_INTERVAL_MS,
         max(
-            observation.MIN_INTERVAL_MS,
-            observed * MS / observation.MAX_POLLS_PER_S,
+            poll_schedule.MIN_INTERVAL_MS,
+            observed * MS / poll_schedule.MAX_POLLS_PER_S,
         ),
     )
     load_age_s = (poll_ms + observed / loads * interval_ms) / MS
@@ -204,7 +204,7 @@
         MS
         / min(
             lease.MAX_POLL_MS,
-            lease.POLL_MS * (1 + rank // lease.RANKS_PER_POLL_MS),
+            lease.POLL_MS * (1 + rank // lease.RANKS_PER_POLL_STEP),
         )
         for rank in range(1, region_nodes)
     )
@@ -265,9 +265,9 @@
         for n in range(target.services)
     )
     size = len(codec.encode(messages.Heartbeat(10**6, zones=loads)))
-    per_pair = links.GATEWAYS**2 * MS / membership_part.FAR_INTERVAL_MS
+    per_pair = links.GATEWAYS**2 * MS / membership_part.REMOTE_INTERVAL_MS
     out = (target.zones - 1) * links.GATEWAYS * size
-    out *= MS / membership_part.FAR_INTERVAL_MS
+    out *= MS / membership_part.REMOTE_INTERVAL_MS
     pairs = target.zones**2 * (1 - 1 / target.regions) / 2
     bits = pairs * per_pair * size * 8
     return [
@@ -291,7 +291,7 @@
     moved = target.failures_per_day + target.replacements_per_day
     # A VM that joins or leaves changes the observers of the upstreams that
     # it observes.
-    observed = observation.OBSERVERS * target.zone_upstreams
+    observed = poll_schedule.OBSERVERS * target.zone_upstreams
     observed /= target.zone_peers + 1
     return [
         '### Losses, and an ordinary day',
--- a/eelgrassknot/forwarding/peer_board.py
+++ b/eelgrassknot/forwarding/peer_discovery.py
@@ -16,7 +16,7 @@
 from eelgrassknot.coordination import peer_codec
 from eelgrassknot.coordination import peer_link
 from eelgrassknot.coordination import peer_messages as messages
-from eelgrassknot.forwarding import peer_roster
+from eelgrassknot.forwarding import peer_membership
 from eelgrassknot.forwarding import row_store
 from eelgrassknot import ids
 from eelgrassknot import logs
@@ -70,8 +70,8 @@
         prepare: collections.abc.Callable[[peer_link.PeerLink], None],
     ) -> None:
         self.vm = vm
-        self.roster = peer_roster.PeerRoster(vm, availability_zone)
-        self.row = peer_roster.VmRow(address, availability_zone)
+        self.roster = peer_membership.PeerRoster(vm, availability_zone)
+        self.row = peer_membership.VmRow(address, availability_zone)
         self.store = store
         self.clock = clock
         self.prepare = prepare
@@ -104,7 +104,7 @@
     def broadcast(self, message: messages.Message) -> None:
         """Send a message to the peers of the zone, or to all if few."""
         if self.link is not None:
-            self.link.broadcast(list(self.roster.links.zone), message)
+            self.link.broadcast(list(self.roster.links.zone_peers), message)
 
     def send_far(
         self,
@@ -174,7 +174,7 @@
             [key.ok_value[0]],
         )
         link = peer_link.PeerLink(
-            self.row.address, codec, self.clock, gather_ms=0.0
+            self.row.address, codec, self.clock, batch_delay_ms=0.0
         )
         self.prepare(link)
         link.start()
@@ -214,7 +214,7 @@
         for row in page.rows:
             try:
                 listed[row.key] = msgspec.json.decode(
-                    row.value, type=peer_roster.VmRow
+                    row.value, type=peer_membership.VmRow
                 )
             except msgspec.MsgspecError as error:
                 logs.warning('peer_unreadable', vm=row.key, why=str(error))
--- a/tests/steps/policy_small_parts.py
+++ b/tests/steps/policy_small_parts.py
@@ -52,7 +52,7 @@
     generator = random.Random(3)
     context.tokens = collections.Counter()
     for _ in range(count):
-        account = context.counters.lowest(context.accounts)
+        account = context.counters.least_served(context.accounts)
         tokens = generator.randint(1, 2_000)
         context.tokens[account] += tokens
         context.counters.charge(account, tokens)
@@ -68,13 +68,13 @@
 def only_large(context, count):
     for _ in range(count):
         context.counters.charge('large', 100)
-    context.counters.lift('small', ['large'])
+    context.counters.raise_to_lowest('small', ['large'])
 
 
 @behave.then('"small" is not served more than {count:d} times in a row')
 def not_in_a_row(context, count):
     row = 0
-    while context.counters.lowest(context.accounts) == 'small':
+    while context.counters.least_served(context.accounts) == 'small':
         row += 1
         context.counters.charge('small', 100)
     assert row <= count, row
@@ -151,7 +151,7 @@
     def check(steps):
         budget = region_budget.RegionBudget()
         budget.configure(services_text.RegionLink(), 7, 0.0)
-        rate = 15_000_000 / 8 * region_budget.SPILL_SHARE / 7
+        rate = 15_000_000 / 8 * region_budget.SPILLOVER_SHARE / 7
         now_ms = 0.0
         largest = 0.0
         for wait_ms, size in steps:
@@ -170,7 +170,7 @@
     names = [f'engine-{index}' for index in range(10)]
     context.lanes = []
     for order in (names, names[::-1]):
-        lane = prefill_lane.LongPromptLane()
+        lane = prefill_lane.LongPromptEngines()
         lane.assign(order)
         context.lanes.append(lane)
 
@@ -189,7 +189,7 @@
 
 @behave.when('the engine preempts')
 def engine_preempts(context):
-    context.limit.preempted(40, context.now_ms)
+    context.limit.on_preemption(40, context.now_ms)
 
 
 @behave.when('{count:d} quiet seconds pass')
@@ -197,7 +197,7 @@
     for _ in range(count):
         context.now_ms += 1_000.0
         running = int(context.limit.limit)
-        context.limit.quiet(running, context.now_ms)
+        context.limit.on_quiet_interval(running, context.now_ms)
 
 
 @behave.then('the limit is {limit:d}')
@@ -215,11 +215,11 @@
 )
 def given_flooded(context):
     given_full(context)
-    context.queue.measure(0.0)
+    context.queue.update_rate(0.0)
     for second in range(1, 4):
         context.queue.pop(context.queue.head(0.0))
         context.queue.counters.charge('flood', 400.0)
-        context.queue.measure(second * 1_000.0)
+        context.queue.update_rate(second * 1_000.0)
 
 
 @behave.then('the flooding account would wait more than {bound_s:d} s')
@@ -243,7 +243,7 @@
 )
 def shrunk_budget(context, full, share, limit):
     context.budget = retry_budget.RetryBudget(0.2, full)
-    context.budget.limit(limit)
+    context.budget.set_max_balance(limit)
     assert _spend_all(context.budget) == share
 
 
@@ -256,7 +256,7 @@
     assert _spend_all(context.budget) == retries
     for _ in range(10 * requests):
         context.budget.earn()
-    assert _spend_all(context.budget) == context.budget.max_saved
+    assert _spend_all(context.budget) == context.budget.max_balance
 
 
 def _spend_all(budget):
@@ -274,7 +274,7 @@
     context.burst, context.ratio = burst, ratio
 
     context.start = lambda: [
-        retry_budget.RetryBudget.of_vm(ratio, burst / vms) for _ in range(vms)
+        retry_budget.RetryBudget.for_vm(ratio, burst / vms) for _ in range(vms)
     ]
 
 
@@ -317,16 +317,16 @@
 
 @behave.given('a book of {count:d} upstreams of which u1 is asked at 0 ms')
 def book_of(context, count):
-    context.book = health.HealthBook()
+    context.book = health.HealthTracker()
     context.names = [f'u{number}' for number in range(1, count + 1)]
-    context.book.asked('u1', 0.0)
+    context.book.request_sent('u1', 0.0)
 
 
 @behave.given('a book of {count:d} upstreams that are all asked at 0 ms')
 def book_of_asked(context, count):
     book_of(context, count)
     for name in context.names[1:]:
-        context.book.asked(name, 0.0)
+        context.book.request_sent(name, 0.0)
 
 
 @behave.then('u1 is usable at {now:d} ms and not at {later:d} ms')
@@ -343,7 +343,7 @@
 
 @behave.when('u1 begins to answer at {now:d} ms')
 def begins_to_answer(context, now):
-    context.book.heard('u1', now)
+    context.book.response_started('u1', now)
 
 
 @behave.when(
@@ -353,9 +353,9 @@
 def asked_again(context, gap, delay):
     context.usable = []
     for now in range(gap, 30 * gap, gap):
-        context.book.asked('u1', now)
+        context.book.request_sent('u1', now)
         if now >= delay:
-            context.book.heard('u1', now)
+            context.book.response_started('u1', now)
         context.usable.append('u1' in context.book.usable(context.names, now))
 
 
