--- a/tests/cli/deployment.feature
+++ b/tests/cli/deployment.feature
@@ -4,14 +4,14 @@
   Scenario: a valid desired state
     Given an empty directory with the stand-in's desired state
     When the operator runs "deployment check state.json"
-    Then the command ends with 0 and prints "version 1 is valid"
+    Then the command exits with 0 and prints "version 1 is valid"
 
   Scenario: all faults are listed without disclosing keys
     Given an empty directory with the stand-in's desired state
     And its routes have an unknown service, a zero weight, a duplicate and an objective above the timeout
     And two accounts share one key
     When the operator runs "deployment check state.json"
-    Then the command ends with 1 and its errors name
+    Then the command exits with 1 and its error output lists
       | path                | remedy                              |
       | $.routes["book"]    | add that service, or name another   |
       | $.routes["look"]    | give a service a weight above 0     |
@@ -20,20 +20,20 @@
       | $.accounts["acme"]  | give each account keys of its own   |
     And no key is shown
     When the operator runs "deployment check --json state.json"
-    Then the command ends with 1 and prints JSON with 5 "faults"
+    Then the command exits with 1 and prints JSON with 5 "faults"
 
   Scenario: a state that cannot be decoded is refused with the invalid field
     Given an empty directory with the stand-in's desired state
     And its version is not a number
     When the operator runs "deployment check state.json"
-    Then the command ends with 3 and its errors say "$.version"
+    Then the command exits with 3 and its error output contains "$.version"
 
   Scenario: the status shows the state, the upstreams and the entry VMs
     Given the platform's stand-in with two servers of each service
     And an empty directory
     And an upstream entry is unreadable and an entry VM has written its row
     When the operator asks the stand-in's store for the status
-    Then the command ends with 0 and prints "state version: 1"
+    Then the command exits with 0 and prints "state version: 1"
     And the upstreams w1 and d2 are listed as live, the bad entry as unreadable
     And the entry VM vm-1 is listed
 
@@ -42,4 +42,4 @@
     And an empty directory
     And the stand-in's store is unavailable
     When the operator asks the stand-in's store for the status
-    Then the command ends with 3 and its errors say "call again later"
+    Then the command exits with 3 and its error output contains "call again later"
--- a/tests/reporting/explanation.feature
+++ b/tests/reporting/explanation.feature
@@ -1,7 +1,7 @@
 Feature: The cause of a failed request is found in the logs
 
   Scenario Outline: the final log line of a request gives the cause
-    Given logs of two VMs with a request that ended for <reason>
+    Given logs of two VMs with a request that ended with reason <reason>
     When the request is explained
     Then the cause names "<words>" and the timeline is in order
 
@@ -13,14 +13,14 @@
       | status_500       | answered 500     |
 
   Scenario: a state change that several VMs logged is shown once
-    Given logs of two VMs with a request that ended for upstream_lost
+    Given logs of two VMs with a request that ended with reason upstream_lost
     When the request is explained
     Then the timeline shows once that the upstream is leaving
 
   Scenario: a request that is absent from the logs is reported as such
-    Given logs of two VMs with a request that ended for deadline
+    Given logs of two VMs with a request that ended with reason deadline
     Then explaining the request "nobody" reports that no line names it
 
   Scenario: the explain command prints the timeline and the cause
-    Given logs of two VMs with a request that ended for upstream_lost
+    Given logs of two VMs with a request that ended with reason upstream_lost
     Then the command explain prints the cause as text and as JSON
--- a/tests/steps/cli_exit_codes.py
+++ b/tests/steps/cli_exit_codes.py
@@ -72,7 +72,7 @@
     path.write_text(json.dumps(document))
 
 
-@behave.when('the operator breaks the text in three places')
+@behave.when('the operator introduces three faults into the text')
 def break_text(context):
     def change(document):
         document['services'][0]['kind'] = 'motor'
@@ -100,19 +100,21 @@
     )
 
 
-@behave.then('the command ends with {code:d} and prints "{text}"')
+@behave.then('the command exits with {code:d} and prints "{text}"')
 def ends_printing(context, code, text):
     assert_code(context, code)
     assert text in context.done.stdout, context.done.stdout
 
 
-@behave.then('the command ends with {code:d} and its errors say "{text}"')
+@behave.then(
+    'the command exits with {code:d} and its error output contains "{text}"'
+)
 def ends_with_errors(context, code, text):
     assert_code(context, code)
     assert text in context.done.stderr, context.done.stderr
 
 
-@behave.then('the command ends with {code:d} and its errors name')
+@behave.then('the command exits with {code:d} and its error output lists')
 def ends_naming(context, code):
     assert_code(context, code)
     lines = context.done.stderr.splitlines()
@@ -124,7 +126,7 @@
 
 
 @behave.then(
-    'the command ends with {code:d} and prints JSON with {count:d} "{name}"'
+    'the command exits with {code:d} and prints JSON with {count:d} "{name}"'
 )
 def ends_with_json_field(context, code, count, name):
     assert_code(context, code)
@@ -132,14 +134,14 @@
 
 
 @behave.then(
-    'the command ends with {code:d} and prints JSON with {count:d} entries'
+    'the command exits with {code:d} and prints JSON with {count:d} entries'
 )
 def ends_with_json(context, code, count):
     assert_code(context, code)
     assert len(json.loads(context.done.stdout)) == count
 
 
-@behave.then('the command ends with {code:d} and prints the text')
+@behave.then('the command exits with {code:d} and prints the text')
 def ends_printing_text(context, code):
     assert_code(context, code)
     accepted = (context.directory / 'text.json').read_text()
--- a/tests/steps/reporting_coverage.py
+++ b/tests/steps/reporting_coverage.py
@@ -95,7 +95,7 @@
 
 
 @behave.when(
-    'the VM records {requests:d} requests an interval'
+    'the VM records {requests:d} requests per interval'
     ' for {intervals:d} intervals and leaves'
 )
 def runs_and_leaves(context, requests, intervals):
@@ -104,7 +104,7 @@
 
 
 @behave.when(
-    'another incarnation records {requests:d} requests an interval'
+    'another incarnation records {requests:d} requests per interval'
     ' for {intervals:d} intervals and leaves'
 )
 def another_runs(context, requests, intervals):
@@ -113,11 +113,11 @@
 
 
 @behave.when(
-    'the VM records {requests:d} requests an interval'
+    'the VM records {requests:d} requests per interval'
     ' for {intervals:d} intervals and is lost'
 )
 @behave.when(
-    'the VM records {requests:d} requests an interval'
+    'the VM records {requests:d} requests per interval'
     ' for {intervals:d} intervals'
 )
 def runs(context, requests, intervals):
@@ -129,7 +129,7 @@
     pass
 
 
-@behave.when('{seconds:d} s go by')
+@behave.when('{seconds:d} s pass')
 def time_goes_by(context, seconds):
     context.clock.advance_ms(seconds * MS)
 
@@ -252,7 +252,7 @@
     assert len([line for line in lines if line.startswith(name)]) <= count
 
 
-@behave.when('{days:d} days go by')
+@behave.when('{days:d} days pass')
 def days_go_by(context, days):
     context.clock.advance_ms(days * MS_PER_DAY)
     # The interval closed here started before the time skip.
--- a/tests/steps/reporting_explanation.py
+++ b/tests/steps/reporting_explanation.py
@@ -16,7 +16,9 @@
     return f'time={time} level=INFO event={event} {told}'
 
 
-@behave.given('logs of two VMs with a request that ended for {reason:w}')
+@behave.given(
+    'logs of two VMs with a request that ended with reason {reason:w}'
+)
 def logs_of_two(context, reason):
     leaving = {'upstream': 'e1', 'state': 'leaving'}
     context.logs = [
