--- a/eelgrassknot/storage/__init__.py
+++ b/eelgrassknot/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Interfaces to the platform, and plug-ins that reach it."""
+"""Interfaces to the platform's services, and their plug-ins."""
--- a/eelgrassknot/storage/base.py
+++ b/eelgrassknot/storage/base.py
@@ -1,4 +1,4 @@
-"""What the product asks of a platform; plug-ins register here."""
+"""Interfaces to a platform's services and the registry of plug-ins."""
 
 import collections.abc
 import dataclasses
@@ -35,7 +35,7 @@
 
 
 class Condition(msgspec.Struct, frozen=True):
-    """Requires a version of a row; None means the row is absent."""
+    """Requires a version of a row; None requires that the row is absent."""
 
     table: str
     key: str
@@ -43,7 +43,7 @@
 
 
 class Write(msgspec.Struct, frozen=True):
-    """Sets a row's value; None deletes the row."""
+    """Sets the value of a row; None deletes the row."""
 
     table: str
     key: str
@@ -51,7 +51,7 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """A row as it was read."""
+    """One row of a table."""
 
     key: str
     value: typing.Any
@@ -59,13 +59,13 @@
 
 
 class Versions(msgspec.Struct, frozen=True):
-    """Versions of the rows that a transaction wrote, by table/key."""
+    """Versions of the rows written by a transaction, by table/key."""
 
     versions: dict[str, int]
 
 
 class VmEntry(msgspec.Struct, frozen=True):
-    """A VM in the platform's list, which lags behind reality."""
+    """A VM in the platform's list, which is eventually consistent."""
 
     vm: ids.VmId
     address: str
@@ -78,7 +78,7 @@
 
 
 class Table(typing.Protocol):
-    """Transactional rows. Errors come back as values, not raised."""
+    """Transactional table. Errors are returned as values, not raised."""
 
     def transact(
         self,
@@ -86,7 +86,7 @@
         conditions: collections.abc.Sequence[Condition],
         writes: collections.abc.Sequence[Write],
     ) -> result.Result[Versions, TransactionError]:
-        """Write all rows if all conditions hold, else none."""
+        """Write all rows atomically if all conditions are met."""
 
     def read_row(
         self, table: str, key: str
@@ -96,11 +96,11 @@
     def list_rows(
         self, table: str, prefix: str = '', after: str = '', limit: int = 1000
     ) -> result.Result[list[Row], PlatformError]:
-        """Return rows in the order of their keys."""
+        """Return rows ordered by key."""
 
 
 class ObjectStore(typing.Protocol):
-    """Whole objects by key."""
+    """Objects by key, read and written as a whole."""
 
     def put(
         self, key: str, body: bytes, only_if_absent: bool = False
@@ -111,24 +111,24 @@
         """Return an object, or None if it is absent."""
 
     def delete(self, key: str) -> result.Result[None, PlatformError]:
-        """Remove an object if it is there."""
+        """Delete an object if it exists."""
 
     def list_keys(
         self, prefix: str
     ) -> result.Result[list[str], PlatformError]:
-        """Return the keys that begin with a prefix."""
+        """Return the keys with a prefix."""
 
 
 class VmList(typing.Protocol):
     """The platform's list of live and leaving VMs."""
 
     def list_vms(self) -> result.Result[list[VmEntry], PlatformError]:
-        """Return the list as the platform has it now."""
+        """Return the platform's current list."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Platform:
-    """The platform's services, as one plug-in reaches them."""
+    """Clients of a platform's services, provided by one plug-in."""
 
     table: Table
     objects: ObjectStore
--- a/eelgrassknot/storage/http.py
+++ b/eelgrassknot/storage/http.py
@@ -1,4 +1,4 @@
-"""Platform by HTTP and JSON."""
+"""Clients of a platform that offers its services as JSON over HTTP."""
 
 import collections.abc
 import typing
@@ -57,7 +57,7 @@
 
 
 def _quote(text: str) -> str:
-    # Servers differ on an encoded slash; a plain one reaches them all.
+    # Servers treat an encoded slash differently; all accept a plain one.
     return urllib.parse.quote(text, safe='/')
 
 
@@ -69,7 +69,7 @@
     except msgspec.MsgspecError as error:
         return result.Err(
             exceptions.MalformedAnswerError(
-                f'the platform answered what cannot be read: {error}',
+                f'the response of the platform cannot be decoded: {error}',
                 'check that the platform URL is right',
             )
         )
@@ -78,19 +78,19 @@
 def _unavailable(reason: object) -> exceptions.PlatformUnavailableError:
     return exceptions.PlatformUnavailableError(
         f'the platform did not serve the request: {reason}',
-        'check the platform and its address, then try again',
+        'check the platform and its address, then retry',
     )
 
 
 def _unknown_outcome(reason: object) -> exceptions.UnknownOutcomeError:
     return exceptions.UnknownOutcomeError(
-        f'the platform gave no clear answer: {reason}',
-        'read back what was written before acting on it',
+        f'the outcome of a write to the platform is unknown: {reason}',
+        'read the written data back before relying on it',
     )
 
 
 class _Client:
-    """Reads that are alike for all services of the platform.
+    """Base class with the requests common to all services.
 
     Args:
         url: Base URL of the platform.
@@ -152,7 +152,7 @@
 
 
 class HttpTable(_Client):
-    """The platform's transactional table."""
+    """Client of the platform's transactional table."""
 
     def transact(
         self,
@@ -160,7 +160,7 @@
         conditions: collections.abc.Sequence[base.Condition],
         writes: collections.abc.Sequence[base.Write],
     ) -> result.Result[base.Versions, base.TransactionError]:
-        """Write all rows if all conditions hold, else none."""
+        """Write all rows atomically if all conditions are met."""
         body = msgspec.json.encode(_Transaction(change, conditions, writes))
         headers = {'Content-Type': 'application/json'}
         answer = self._write('POST', '/transactions', body, headers)
@@ -186,7 +186,7 @@
     def list_rows(
         self, table: str, prefix: str = '', after: str = '', limit: int = 1000
     ) -> result.Result[list[base.Row], base.PlatformError]:
-        """Return rows in the order of their keys."""
+        """Return rows ordered by key."""
         query = urllib.parse.urlencode(
             {'prefix': prefix, 'after': after, 'limit': limit}
         )
@@ -197,7 +197,7 @@
 
 
 class HttpObjects(_Client):
-    """The platform's object store."""
+    """Client of the platform's object store."""
 
     def put(
         self, key: str, body: bytes, only_if_absent: bool = False
@@ -219,14 +219,14 @@
         return self._get(f'/objects/{_quote(key)}')
 
     def delete(self, key: str) -> result.Result[None, base.PlatformError]:
-        """Remove an object if it is there."""
+        """Delete an object if it exists."""
         answer = self._write('DELETE', f'/objects/{_quote(key)}', None, {})
         return answer.map(lambda _: None)
 
     def list_keys(
         self, prefix: str
     ) -> result.Result[list[str], base.PlatformError]:
-        """Return the keys that begin with a prefix."""
+        """Return the keys with a prefix."""
         path = f'/objects?prefix={_quote(prefix)}'
         return self._read(path, _KeysResponse).map(
             lambda answer: answer.keys if answer else []
@@ -234,12 +234,12 @@
 
 
 class HttpVmList(_Client):
-    """The platform's list of VMs."""
+    """Client of the platform's list of VMs."""
 
     def list_vms(
         self,
     ) -> result.Result[list[base.VmEntry], base.PlatformError]:
-        """Return the list as the platform has it now."""
+        """Return the platform's current list."""
         return self._read('/vms', _VmsResponse).map(
             lambda answer: answer.vms if answer else []
         )
@@ -255,5 +255,5 @@
 
 @base.PLATFORMS.register('http')
 def create(url: str) -> base.Platform:
-    """Return the platform at a base URL."""
+    """Return the clients of the platform at a base URL."""
     return base.Platform(HttpTable(url), HttpObjects(url), HttpVmList(url))
