--- a/tests/steps/forwarding_faults.py
+++ b/tests/steps/forwarding_faults.py
@@ -72,7 +72,7 @@
 
 
 @behave.given('a booking with the key {key} was served')
-def was_served(context, key):
+def booking_served_with_key(context, key):
     _, answer = _book(context, key)
     assert answer.status == 200, context.entry.log()
 
@@ -80,7 +80,7 @@
 @behave.when(
     'the VM is paused, the key {key} is revoked and a booking with it is sent'
 )
-def frozen_and_revoked(context, key):
+def pause_and_revoke(context, key):
     context.caller = _caller(context)
     context.entry.process.send_signal(signal.SIGSTOP)
     _revoke(context, key)
@@ -90,13 +90,13 @@
 
 
 @behave.when('the VM is resumed after {seconds:d} s')
-def goes_on(context, seconds):
+def resume_after(context, seconds):
     time.sleep(seconds)
     context.entry.process.send_signal(signal.SIGCONT)
 
 
 @behave.then('that booking gets 401 or 503 and has not run')
-def not_run(context):
+def booking_not_run(context):
     answer = context.caller.read()
     assert answer.status in (401, 503), answer.status
     assert context.platform.runs[context.request] == 0
@@ -106,11 +106,11 @@
     'a stream is read and the VM is paused for {seconds:d} s after {count:d} '
     'events'
 )
-def stream_and_freeze(context, seconds, count):
+def stream_and_pause(context, seconds, count):
     caller = _send_stream(context)
     caller.wait_events(count)
     context.entry.process.send_signal(signal.SIGSTOP)
-    goes_on(context, seconds)
+    resume_after(context, seconds)
     context.answer = caller.read()
 
 
@@ -125,7 +125,7 @@
 @behave.when(
     'bookings are sent and the VM is paused for {seconds:d} s after each'
 )
-def book_and_freeze(context, seconds):
+def book_and_pause(context, seconds):
     context.answers = {}
     for wait_ms in (0, 1, 3, 10):
         caller = _caller(context)
@@ -133,12 +133,12 @@
         caller.send('POST', '/book/x', headers, b'{}')
         time.sleep(wait_ms / 1_000)
         context.entry.process.send_signal(signal.SIGSTOP)
-        goes_on(context, seconds)
+        resume_after(context, seconds)
         context.answers[headers['Request-Id']] = caller.read()
 
 
 @behave.then('each was answered 200 and has run once')
-def all_once(context):
+def all_ran_once(context):
     for request, answer in context.answers.items():
         assert answer.status == 200, (request, answer.status)
         assert context.platform.runs[request] == 1, request
@@ -147,25 +147,25 @@
 @behave.when(
     'the link to the store loses {direction} and the key {key} is revoked'
 )
-def cut_and_revoked(context, direction, key):
+def cut_link_and_revoke(context, direction, key):
     _set_fault(context, 'store', direction)
     _revoke(context, key)
 
 
 @behave.when('{seconds:d} s of VM time pass')
-def seconds_pass(context, seconds):
+def wait_seconds(context, seconds):
     time.sleep(seconds)
 
 
 @behave.then('a booking with the key {key} is answered 503 and has not run')
-def refused_unknown(context, key):
+def booking_rejected(context, key):
     request, answer = _book(context, key)
     assert answer.status == 503, answer.status
     assert context.platform.runs[request] == 0
 
 
 @behave.when('the link to the store is restored')
-def whole_again(context):
+def link_restored(context):
     _set_fault(context, 'store', 'none')
 
 
@@ -195,7 +195,7 @@
     'a stream is read and the entry of its engine is removed after {count:d} '
     'events'
 )
-def leaver_unsaid(context, count):
+def stream_and_remove_entry(context, count):
     caller = _send_stream(context)
     caller.wait_events(count)
     (context.engine,) = [engine for engine in context.engines if engine.seen]
@@ -232,13 +232,13 @@
 
 
 @behave.when('that link loses {direction} and {count:d} bookings are sent')
-def link_loses(context, direction, count):
+def cut_link_and_book(context, direction, count):
     _set_fault(context, 'desk', direction)
     context.answers = dict(_book(context) for _ in range(count))
 
 
 @behave.then('each got a response and has run at most once')
-def at_most_once(context):
+def ran_at_most_once(context):
     for request, answer in context.answers.items():
         assert answer.status in (200, 502, 503, 504), answer.status
         assert context.platform.runs[request] <= 1, request
@@ -247,6 +247,6 @@
 
 
 @behave.then('at most {count:d} were not answered 200')
-def most_answered(context, count):
+def failures_limited(context, count):
     failed = [a.status for a in context.answers.values() if a.status != 200]
     assert len(failed) <= count, failed
--- a/tests/steps/forwarding_whole_path.py
+++ b/tests/steps/forwarding_whole_path.py
@@ -56,12 +56,12 @@
     return headers['Request-Id'], answer
 
 
-def _look(context, caller, key='key-one'):
+def _lookup(context, caller, key='key-one'):
     headers = _headers(key)
     return headers['Request-Id'], caller.ask('GET', '/look/x', headers)
 
 
-def _own_answer(request, answer):
+def _is_own_response(request, answer):
     return answer.body.startswith(f'answer to {request} '.encode())
 
 
@@ -74,7 +74,7 @@
 
 
 @behave.then('the response is complete and the server received the same body')
-def whole_answer(context):
+def complete_response(context):
     assert context.answer.status == 200, context.entry.log()
     wanted = f'answer to {context.request} '.encode() + context.body
     assert context.answer.body == wanted
@@ -83,20 +83,20 @@
 
 
 @behave.then('the server received the account and not the key')
-def account_seen(context):
+def account_received(context):
     (seen,) = [seen for desk in context.desks for seen in desk.seen]
     assert seen['Tenant'] == 'acme', seen
     assert 'key-one' not in str(seen), seen
 
 
 @behave.given('the second response of each server is lost')
-def vanishes(context):
+def second_response_lost(context):
     for desk in context.desks:
         desk.faults = ['', 'vanish']
 
 
 @behave.when('bookings are sent until one fails')
-def book_until(context):
+def book_until_failure(context):
     caller = _caller(context)
     for _ in range(8):
         context.request, context.answer = _book(context, caller)
@@ -145,18 +145,18 @@
 @behave.when('{count:d} bookings are sent')
 def many_bookings(context, count):
     caller = _caller(context)
-    context.booked = [_book(context, caller) for _ in range(count)]
+    context.bookings = [_book(context, caller) for _ in range(count)]
 
 
 @behave.then('all are answered 200 and each has run once')
 def all_booked(context):
-    for request, answer in context.booked:
+    for request, answer in context.bookings:
         assert answer.status == 200, answer.status
         assert context.platform.runs[request] == 1
 
 
 @behave.given('each server answers the next 6 requests twice')
-def answers_twice(context):
+def duplicate_responses(context):
     for desk in context.desks:
         desk.faults = ['extra'] * 6
 
@@ -164,17 +164,17 @@
 @behave.when('{count:d} lookups are sent on one connection')
 def many_lookups(context, count):
     caller = _caller(context)
-    context.looked = []
+    context.lookups = []
     for _ in range(count):
-        context.looked.append(_look(context, caller))
+        context.lookups.append(_lookup(context, caller))
         time.sleep(0.06)
 
 
 @behave.then('each lookup gets its own response')
-def own_answers(context):
-    for request, answer in context.looked:
+def own_responses(context):
+    for request, answer in context.lookups:
         assert answer.status == 200, answer.status
-        assert _own_answer(request, answer), answer.body
+        assert _is_own_response(request, answer), answer.body
 
 
 @behave.given('the next response of each server is {fault}')
@@ -215,7 +215,7 @@
 
 
 @behave.when('a stream is read and its engine crashes after {count:d} events')
-def stream_crash(context, count):
+def stream_and_crash(context, count):
     caller = _read_stream(context, count, lambda e, _: e.crash())
     context.answer = caller.read()
 
@@ -224,13 +224,13 @@
     'a stream is read and its engine says after {count:d} events that it '
     'leaves'
 )
-def stream_leave(context, count):
+def stream_and_drain(context, count):
     caller = _read_stream(context, count, lambda e, _: e.tell('draining'))
     context.answer = caller.read()
 
 
 @behave.when('a stream is read and SIGTERM is sent after {count:d} events')
-def stream_term(context, count):
+def stream_and_terminate(context, count):
     process = context.entry.process
     caller = _read_stream(
         context, count, lambda *_: process.send_signal(signal.SIGTERM)
@@ -252,12 +252,12 @@
 @behave.when(
     'a stream is read and the caller disconnects after {count:d} events'
 )
-def caller_leaves(context, count):
+def caller_disconnects(context, count):
     _read_stream(context, count, lambda _, caller: caller.stream.close())
 
 
 @behave.then('the VM soon closes its connection to the engine')
-def engine_free(context):
+def engine_connection_closed(context):
     def ended():
         return 'reason=caller_left' in context.entry.log()
 
@@ -265,7 +265,7 @@
 
 
 @behave.then('an unknown key gets 401, an unknown path 404')
-def refused(context):
+def requests_rejected(context):
     caller = _caller(context)
     assert _book(context, caller, key='nobody')[1].status == 401
     answer = caller.ask('GET', '/nowhere/x', _headers())
@@ -284,19 +284,19 @@
 def soon_404(context):
     caller = _caller(context)
     entry_process.wait_until(
-        lambda: _look(context, caller)[1].status == 404, SOON_S, 'a 404'
+        lambda: _lookup(context, caller)[1].status == 404, SOON_S, 'a 404'
     )
     assert _book(context, caller)[1].status == 200
 
 
 @behave.when('the store becomes unavailable for 5 s')
-def store_away(context):
+def store_unavailable(context):
     context.platform.is_down = True
     time.sleep(5.0)
 
 
 @behave.then('a booking is refused with 503 and Retry-After')
-def refused_503(context):
+def booking_rejected_503(context):
     _, answer = _book(context)
     assert answer.status == 503, answer.status
     assert float(answer.headers['retry-after']) > 0
@@ -306,7 +306,7 @@
 @behave.when(
     'the store is available again with a state without the key key-two'
 )
-def store_back(context):
+def store_available_again(context):
     state = users_documents.desired_state(7)
     state['tenants'][0]['apiKeys'] = ['key-one']
     context.platform.put_state(state)
@@ -314,7 +314,7 @@
 
 
 @behave.then('the key key-two soon gets 401 and the key key-one is served')
-def key_gone(context):
+def key_revoked(context):
     caller = _caller(context)
 
     def is_refused():
@@ -327,7 +327,7 @@
 
 
 @behave.when('unreadable entries of servers are written')
-def bad_entries(context):
+def unreadable_entries(context):
     bad = (b'', b'[', b'{"service": 4}', b'\xff\xfe', b'{}')
     for number, value in enumerate(bad):
         context.platform.put('servers', f'bad-{number}', value)
@@ -339,24 +339,24 @@
 
 
 @behave.then('it soon gets bookings')
-def gets_bookings(context):
+def receives_bookings(context):
     caller = _caller(context)
 
-    def has_some():
+    def has_requests():
         assert _book(context, caller)[1].status == 200
         return bool(context.desk.seen)
 
-    entry_process.wait_until(has_some, SOON_S, context.entry.log)
+    entry_process.wait_until(has_requests, SOON_S, context.entry.log)
 
 
-def _raw(context, data):
+def _send_raw(context, data):
     caller = _caller(context)
     caller.stream.sendall(data)
     return caller.read().status
 
 
 @behave.then('these requests get these responses')
-def answered_so(context):
+def responses_are(context):
     head = b'POST /book/x HTTP/1.1\r\nHost: a.example\r\n'
     requests = {
         'garbage': b'what is this\r\n\r\n',
@@ -367,7 +367,7 @@
         'slow head': head,
     }
     for row in context.table:
-        status = _raw(context, requests[row['request']])
+        status = _send_raw(context, requests[row['request']])
         assert status == int(row['status']), (row['request'], status)
 
 
@@ -377,7 +377,7 @@
 
 
 @behave.then('the VM reports that it is not ready and exits with code 0')
-def ends(context):
+def vm_exits(context):
     assert not context.entry.is_ready()
     assert context.entry.process.wait(timeout=10) == 0, context.entry.log()
 
@@ -405,7 +405,7 @@
 
 
 @behave.when('the settings file is corrupted and SIGHUP is sent')
-def settings_spoilt(context):
+def settings_corrupted(context):
     context.settings = context.entry.settings_path.read_text()
     context.entry.settings_path.write_text('{')
     context.entry.process.send_signal(signal.SIGHUP)
--- a/tests/steps/platform_translation.py
+++ b/tests/steps/platform_translation.py
@@ -45,13 +45,13 @@
     if parts != 'none':
         headers.append((b'Prompt-Prefix', parts.encode()))
     found = wire.caller_headers(headers).generation
-    told = 'no generation'
+    decoded = 'no generation'
     if found is not None:
-        told = (
+        decoded = (
             f'{found.prompt_tokens} {found.max_output_tokens} '
             f'{len(found.parts)} parts'
         )
-    assert told == meaning, told
+    assert decoded == meaning, decoded
 
 
 @behave.then('the entry {entry} is {outcome:w}')
@@ -114,14 +114,14 @@
     'naming it'
 )
 def unknown_field(context, name):
-    told = _settings(lambda document: document.update({name: 1}))
-    assert name in told and 'remedy' in told, told
+    message = _settings(lambda document: document.update({name: 1}))
+    assert name in message and 'remedy' in message, message
 
 
 @behave.then('settings without "{name}" are rejected with an error naming it')
 def missing_field(context, name):
-    told = _settings(lambda document: document.pop(name))
-    assert name in told and 'remedy' in told, told
+    message = _settings(lambda document: document.pop(name))
+    assert name in message and 'remedy' in message, message
 
 
 @behave.then(
@@ -129,7 +129,7 @@
     'naming it'
 )
 def wrong_address(context, address):
-    told = _settings(
+    message = _settings(
         lambda document: document['listen'].update(callers=address)
     )
-    assert address in told and 'callers' in told, told
+    assert address in message and 'callers' in message, message
