--- a/eelgrassknot/entry.py
+++ b/eelgrassknot/entry.py
@@ -293,7 +293,7 @@
         str, typer.Option(help='Adapter of the platform.')
     ] = 'users',
     check: typing.Annotated[
-        bool, typer.Option(help='Check the settings and end.')
+        bool, typer.Option(help='Validate the settings and exit.')
     ] = False,
 ) -> None:
     """Run the daemon of an entry VM on a platform."""
@@ -303,7 +303,7 @@
         typer.echo(str(error), err=True)
         raise typer.Exit(1) from error
     if check:
-        typer.echo('the settings can be used')
+        typer.echo('the settings are valid')
         return
     writer = logs.configure(loaded.log_level, sys.stdout, LOG_LINES_PER_S)
     registry.load_plugins('eelgrassknot.platform')
--- a/eelgrassknot/forwarding/call_driver.py
+++ b/eelgrassknot/forwarding/call_driver.py
@@ -282,7 +282,7 @@
             health.request_abandoned(self.upstream.upstream)
 
     def _eject_if_unresponsive(self) -> None:
-        """Eject an upstream that has responded to no call of late."""
+        """Eject the awaited upstream if it responds to no call at all."""
         health, now_ms = self.context.health, self.now_ms()
         if self.awaiting_response and health.is_unresponsive(
             self.upstream.upstream, now_ms
--- a/eelgrassknot/platform/store.py
+++ b/eelgrassknot/platform/store.py
@@ -246,7 +246,7 @@
         return result.Err(
             row_store.ConditionFailedError(
                 'the condition of a write was not met; nothing was written',
-                'read the row and retry if the write still applies',
+                'read the row again and retry',
             )
         )
     if status in _REFUSED:
