--- a/eelgrassknot/policy/commitments.py
+++ b/eelgrassknot/policy/commitments.py
@@ -135,8 +135,8 @@
             peers: Peers to include, or None for all.
         """
         total = self.own_sums()
-        for peer, (heard_ms, sums) in self.peers.items():
-            if now_ms - heard_ms > PEER_SUMS_TTL_MS:
+        for peer, (received_ms, sums) in self.peers.items():
+            if now_ms - received_ms > PEER_SUMS_TTL_MS:
                 continue
             if peers is not None and peer not in peers:
                 continue
--- a/eelgrassknot/policy/engine_pairs.py
+++ b/eelgrassknot/policy/engine_pairs.py
@@ -159,8 +159,8 @@
     if sums.get(engine.upstream, _NO_SUMS).runs >= engine.slots:
         return False
     # A run larger than the whole memory is placed; the engine rejects it.
-    wanted = min(tokens, engine.memory_tokens)
-    return _committed_tokens(engine, sums) + wanted <= engine.memory_tokens
+    needed = min(tokens, engine.memory_tokens)
+    return _committed_tokens(engine, sums) + needed <= engine.memory_tokens
 
 
 def has_room_for_copy(tokens: int, engine: Engine, sums: Sums) -> bool:
--- a/eelgrassknot/policy/engine_pool.py
+++ b/eelgrassknot/policy/engine_pool.py
@@ -37,7 +37,7 @@
         region: Region of this VM.
         generator: Random number generator.
         counters: Token counters of the client accounts.
-        book: Health of the upstreams.
+        health_tracker: Health of the upstreams.
         link: Bandwidth budget of the link between regions.
         options: Enabled mechanisms.
     """
@@ -56,14 +56,14 @@
         self.service = service
         self.region = region
         self.counters = counters
-        self.book = health_tracker
+        self.health_tracker = health_tracker
         self.region_budget = link
         self.options = options
         self.views: dict[ids.UpstreamId, engine_view.EngineView] = {}
         self.candidates = candidate_engines.CandidateEngines(
             self.views, region, health_tracker, options.ejection
         )
-        self.held_at: dict[ids.RequestId, engine_view.EngineView] = {}
+        self.views_by_request: dict[ids.RequestId, engine_view.EngineView] = {}
         self.queue = admission.EntryQueue(counters, options.fairness)
         self.predictor = length.LengthPredictor()
         self.affinity = prefix.PrefixAffinity()
@@ -88,7 +88,7 @@
         self, infos: list[kernel_events.UpstreamInfo], now_ms: float
     ) -> None:
         """Replace the set of the service's engines."""
-        fresh = bool(self.views)
+        slow_start = bool(self.views)
         self.candidates.invalidate()
         named = {info.upstream for info in infos}
         for info in infos:
@@ -97,14 +97,16 @@
                 self.views[info.upstream] = engine_view.EngineView(info)
             else:
                 view.info = info
-            self.book.get_or_create(info.upstream, now_ms, fresh)
+            self.health_tracker.get_or_create(
+                info.upstream, now_ms, slow_start
+            )
         local = [i.upstream for i in infos if i.region == self.region]
         self.placement.long_prompt_engines.assign(local)
         for upstream in list(self.views):
             if upstream not in named:
                 del self.views[upstream]
                 self.affinity.forget(upstream)
-                self.book.forget(upstream)
+                self.health_tracker.forget(upstream)
 
     def admit(
         self, profile: messages.RequestProfile, now_ms: float
@@ -172,7 +174,7 @@
         self, request: ids.RequestId, count: int, now_ms: float
     ) -> None:
         """Record output tokens of a running request."""
-        view = self.held_at.get(request)
+        view = self.views_by_request.get(request)
         if view is None:
             return
         request_state = view.own_requests[request]
@@ -187,7 +189,7 @@
         if over > 0:
             self.counters.charge(request_state.profile.client_account, over)
         if request_state.last_progress_ms is not None:
-            known = self.book.upstreams.get(view.info.upstream)
+            known = self.health_tracker.upstreams.get(view.info.upstream)
             if known is not None:
                 known.record_tokens(
                     count, now_ms - request_state.last_progress_ms
@@ -198,7 +200,7 @@
         self, request: ids.RequestId, complete: bool, now_ms: float
     ) -> None:
         """Record that a request no longer occupies its engine."""
-        view = self.held_at.pop(request, None)
+        view = self.views_by_request.pop(request, None)
         if view is None:
             return
         request_state = view.remove_request(request)
@@ -211,7 +213,7 @@
             request_state.length_class.record_end(
                 request_state.produced, now_ms
             )
-            self.book.record_success(view.info.upstream)
+            self.health_tracker.record_success(view.info.upstream)
 
     def update_load(self, load: messages.EngineLoad, now_ms: float) -> None:
         """Process an engine's load report."""
@@ -315,14 +317,19 @@
             views,
             self.tuning,
             self.affinity,
-            self.book,
+            self.health_tracker,
             now_ms,
         )
         if view is None:
             return None
-        upfront = min(length_class.expected, max_tokens)
+        charged_tokens = min(length_class.expected, max_tokens)
         request_state = engine_view.ActiveRequest(
-            profile, length_class, max_tokens, upfront, now_ms, footprint
+            profile,
+            length_class,
+            max_tokens,
+            charged_tokens,
+            now_ms,
+            footprint,
         )
         self._record_dispatch(view, request_state, now_ms)
         crosses = view.info.region != self.region
@@ -336,7 +343,7 @@
     ) -> None:
         profile = request_state.profile
         view.add_request(request_state)
-        self.held_at[profile.request] = view
+        self.views_by_request[profile.request] = view
         request_state.length_class.record_start(now_ms)
         self.affinity.stored(view.info.upstream, profile.prefixes)
         prompt_cost = profile.prompt_tokens * fairness.PROMPT_TOKEN_COST
@@ -375,11 +382,11 @@
 
     def _update_concurrency_limits(self, now_ms: float) -> None:
         if self.options.ejection:
-            self.book.eject_slow(list(self.views), now_ms)
+            self.health_tracker.eject_slow(list(self.views), now_ms)
             self.candidates.invalidate()
         for view in self.views.values():
             running = self.placement.running(view, now_ms)
-            known = self.book.upstreams.get(view.info.upstream)
+            known = self.health_tracker.upstreams.get(view.info.upstream)
             slow = (
                 known is not None
                 and known.sample_count > 0
--- a/eelgrassknot/policy/engine_view.py
+++ b/eelgrassknot/policy/engine_view.py
@@ -163,9 +163,9 @@
 
     def share(self) -> messages.UpstreamShare:
         """Return this VM's load at the engine, to announce to peers."""
-        held = int(self.own_forecast.means[0])
+        tokens = int(self.own_forecast.means[0])
         return messages.UpstreamShare(
-            self.info.upstream, len(self.own_requests), held
+            self.info.upstream, len(self.own_requests), tokens
         )
 
     def _estimate_peer_load(
@@ -173,35 +173,35 @@
     ) -> PeerLoad:
         if now_ms - self.last_digest_ms > DIGEST_TTL_MS:
             return self._peer_load_from_report(typical)
-        running, held = self._announced_totals(now_ms)
+        running, tokens = self._announced_totals(now_ms)
         running += self.unannounced_running
-        held += self.unannounced_tokens
+        tokens += self.unannounced_tokens
         forecast = memory.MemoryForecast()
-        forecast.add_scaled(typical, held / max(1.0, typical.means[0]))
+        forecast.add_scaled(typical, tokens / max(1.0, typical.means[0]))
         return PeerLoad(running, forecast)
 
     def _announced_totals(self, now_ms: float) -> tuple[float, float]:
-        fresh = [
-            holding.digest
-            for holding in self.peer_digests.values()
-            if now_ms - holding.received_ms <= DIGEST_TTL_MS
+        current = [
+            received.digest
+            for received in self.peer_digests.values()
+            if now_ms - received.received_ms <= DIGEST_TTL_MS
         ]
-        running = sum(digest.running for digest in fresh)
-        return running, sum(digest.expected_tokens for digest in fresh)
+        running = sum(digest.running for digest in current)
+        return running, sum(digest.expected_tokens for digest in current)
 
     def _update_unannounced(
         self, load: messages.EngineLoad, now_ms: float
     ) -> None:
         # Peers in other zones send no digests to this VM. Reported load
         # that no digest accounts for is attributed to them.
-        running, held = self._announced_totals(now_ms)
+        running, tokens = self._announced_totals(now_ms)
         running = (
             load.running + load.waiting - running - len(self.own_requests)
         )
-        held = load.kv_tokens_used - held - self.own_forecast.means[0]
+        tokens = load.kv_tokens_used - tokens - self.own_forecast.means[0]
         part = UNANNOUNCED_SMOOTHING
         self.unannounced_running += part * (running - self.unannounced_running)
-        self.unannounced_tokens += part * (held - self.unannounced_tokens)
+        self.unannounced_tokens += part * (tokens - self.unannounced_tokens)
         self.unannounced_running = max(0.0, self.unannounced_running)
         self.unannounced_tokens = max(0.0, self.unannounced_tokens)
 
--- a/eelgrassknot/policy/length.py
+++ b/eelgrassknot/policy/length.py
@@ -230,7 +230,7 @@
     Example:
         >>> predictor = LengthPredictor()
         >>> found = predictor.length_class('desk', 'hotel', 300, 0.0)
-        >>> 0.4 < found.chance_longer(200, 0) < 0.6
+        >>> 0.4 < found.probability_of_more(200, 0) < 0.6
         True
     """
 
--- a/eelgrassknot/policy/limits.py
+++ b/eelgrassknot/policy/limits.py
@@ -214,8 +214,8 @@
     def _silent_peers(self, now_ms: float) -> list[ids.VmId]:
         return [
             vm
-            for vm, heard_ms in self.peer_contact_ms.items()
-            if now_ms - heard_ms > PEER_TIMEOUT_MS
+            for vm, contact_ms in self.peer_contact_ms.items()
+            if now_ms - contact_ms > PEER_TIMEOUT_MS
         ]
 
     def _rebalance_account(self, share: AccountShare, now_ms: float) -> None:
--- a/eelgrassknot/policy/placement.py
+++ b/eelgrassknot/policy/placement.py
@@ -176,13 +176,13 @@
     def _sample(
         self,
         views: Sequence[engine_view.EngineView],
-        home: engine_view.EngineView | None,
+        preferred: engine_view.EngineView | None,
     ) -> Sequence[engine_view.EngineView]:
         if len(views) <= self.options.sample_size:
             return views
         found = self.generator.sample(views, self.options.sample_size)
-        if home is not None and home not in found:
-            found.append(home)
+        if preferred is not None and preferred not in found:
+            found.append(preferred)
         return found
 
     def _preferred_engine(
@@ -208,7 +208,7 @@
         self,
         profile: messages.RequestProfile,
         view: engine_view.EngineView,
-        knobs: objective.PlacementTuning,
+        tuning: objective.PlacementTuning,
         affinity: prefix.PrefixAffinity,
     ) -> float:
         name = view.info.upstream
@@ -219,7 +219,7 @@
         if self.options.long_prompts and not self.long_prompt_engines.suits(
             name, uncovered
         ):
-            cost += knobs.long_prompt_weight
+            cost += tuning.long_prompt_weight
         if view.info.availability_zone != self.availability_zone:
             cost += OTHER_ZONE_COST
         return cost
@@ -229,13 +229,13 @@
         footprint: memory.Footprint,
         view: engine_view.EngineView,
         others: engine_view.PeerLoad,
-        knobs: objective.PlacementTuning,
+        tuning: objective.PlacementTuning,
     ) -> float:
         own = view.own_forecast
         if not self.options.forecast:
-            held = own.means[0] + others.forecast.means[0]
-            return held + footprint.means[0]
-        deviations = knobs.deviations if self.options.quantile else 0.0
+            used = own.means[0] + others.forecast.means[0]
+            return used + footprint.means[0]
+        deviations = tuning.deviations if self.options.quantile else 0.0
         return own.peak_with(others.forecast, footprint, deviations)
 
 
--- a/eelgrassknot/policy/retry_budget.py
+++ b/eelgrassknot/policy/retry_budget.py
@@ -30,11 +30,11 @@
         self,
         retries_per_request: float = RETRIES_PER_REQUEST,
         max_balance: float = MAX_BALANCE,
-        saved: float | None = None,
+        balance: float | None = None,
     ) -> None:
         self.retries_per_request = retries_per_request
         self.max_balance = max_balance
-        self.balance = max_balance if saved is None else saved
+        self.balance = max_balance if balance is None else balance
 
     @classmethod
     def for_vm(cls, retries_per_request: float, share: float) -> 'RetryBudget':
@@ -49,7 +49,7 @@
             share: This VM's share of the burst allowed to all VMs.
 
         Example:
-            >>> RetryBudget.for_vm(0.2, 8.0).saved
+            >>> RetryBudget.for_vm(0.2, 8.0).balance
             2.0
         """
         max_balance = share * (1 - INITIAL_SHARE)
--- a/tests/steps/daemon.py
+++ b/tests/steps/daemon.py
@@ -8,14 +8,14 @@
 
 
 @behave.given('a daemon whose address for callers is in use')
-def given_taken(context):
+def given_address_in_use(context):
     context.deployment = deployment.Deployment()
     context.add_cleanup(context.deployment.close)
     daemon = context.deployment.add('v0')
     address = daemon.settings['listen']['callers']
     host, port = address.split(':')
-    taken = socket.create_server((host, int(port)))
-    context.add_cleanup(taken.close)
+    listener = socket.create_server((host, int(port)))
+    context.add_cleanup(listener.close)
 
 
 @behave.when('that daemon is started')
--- a/tests/steps/logs.py
+++ b/tests/steps/logs.py
@@ -17,7 +17,7 @@
     assert len(found.splitlines()) == 1
 
 
-class _Blocked(io.StringIO):
+class _BlockingStream(io.StringIO):
     """A stream that blocks until it is released."""
 
     def __init__(self):
@@ -30,8 +30,8 @@
 
 
 @behave.given('a log writer whose stream blocks')
-def blocked_writer(context):
-    context.stream = _Blocked()
+def blocking_writer(context):
+    context.stream = _BlockingStream()
     context.writer = log_writer.LogWriter(context.stream, 10**9)
 
 
@@ -46,7 +46,7 @@
 
 
 @behave.then('no caller was blocked and the warnings are kept')
-def all_taken(context):
+def no_caller_blocked(context):
     assert not context.stream.released.is_set()
     context.stream.released.set()
     context.writer.close(5.0)
--- a/tests/steps/policy_crowded.py
+++ b/tests/steps/policy_crowded.py
@@ -76,7 +76,7 @@
 
 
 @behave.then('every request has ended, is running, is queued or was refused')
-def none_forgotten(context):
+def all_accounted_for(context):
     found = context.simulation
     waiting = sum(
         pool.queue.size
--- a/tests/steps/policy_dispatcher.py
+++ b/tests/steps/policy_dispatcher.py
@@ -51,7 +51,7 @@
     )
 
 
-def feed(context, event):
+def handle(context, event):
     found = context.dispatcher.handle(event, context.now_ms)
     for action in found:
         context.actions[action.request].append(action)
@@ -63,7 +63,7 @@
         name = f'request-{len(context.requests)}'
         context.requests.append(name)
         made = profile(name, prompt_tokens, **changes)
-        feed(context, messages.RequestArrived(made))
+        handle(context, messages.RequestArrived(made))
 
 
 def dispatched(context):
@@ -92,11 +92,11 @@
     context.dispatcher = dispatcher.Dispatcher(
         'yard', 'island', random.Random(7)
     )
-    feed(context, messages.ConfigChanged(text()))
+    handle(context, messages.ConfigChanged(text()))
     known = tuple(upstream(name) for name in context.names)
-    feed(context, messages.UpstreamsChanged(known))
+    handle(context, messages.UpstreamsChanged(known))
     for name in context.names:
-        feed(context, messages.LoadReported(load(name, tokens)))
+        handle(context, messages.LoadReported(load(name, tokens)))
 
 
 @behave.when('{count:d} requests of {tokens:d} prompt tokens arrive')
@@ -131,7 +131,7 @@
 @behave.when('all that were dispatched end')
 def all_end(context):
     for name in context.before:
-        feed(context, messages.RequestEnded(name, True))
+        handle(context, messages.RequestEnded(name, True))
 
 
 @behave.then('more are dispatched')
@@ -147,9 +147,9 @@
     running = collections.deque(dispatched(context))
     for _ in range(10):
         context.now_ms += 1_000.0
-        feed(context, messages.Tick())
+        handle(context, messages.Tick())
         event = messages.RequestEnded(running.popleft(), False)
-        running.extend(action.request for action in feed(context, event))
+        running.extend(action.request for action in handle(context, event))
     assert context.dispatcher.pools['writer'].queue.size >= count
 
 
@@ -167,7 +167,7 @@
 @behave.when('{span_ms:d} ms pass')
 def time_passes(context, span_ms):
     context.now_ms += span_ms
-    feed(context, messages.Tick())
+    handle(context, messages.Tick())
 
 
 @behave.then('all that were not dispatched are refused for their deadline')
@@ -182,8 +182,8 @@
 def engine_fails(context):
     name = context.requests[-1]
     context.first = dispatched(context)[name].upstream.upstream
-    feed(context, messages.UpstreamFailed(context.first))
-    feed(context, messages.RetryRequested(name, context.first))
+    handle(context, messages.UpstreamFailed(context.first))
+    handle(context, messages.RetryRequested(name, context.first))
 
 
 @behave.then('it is dispatched to another engine')
@@ -201,7 +201,7 @@
         if isinstance(last, messages.Refuse):
             return
         failed = last.upstream.upstream
-        feed(context, messages.RetryRequested(name, failed))
+        handle(context, messages.RetryRequested(name, failed))
 
 
 @behave.then('it is refused for the retry budget')
@@ -215,8 +215,8 @@
 def leaving_and_withheld(context):
     first, second, third = context.names
     known = (upstream(first, live=False), upstream(second), upstream(third))
-    feed(context, messages.UpstreamsChanged(known))
-    feed(context, messages.ConfigChanged(text(withheld=(second,))))
+    handle(context, messages.UpstreamsChanged(known))
+    handle(context, messages.ConfigChanged(text(withheld=(second,))))
 
 
 @behave.then('all go to the third engine')
@@ -229,7 +229,7 @@
 @behave.when('the queued requests are cancelled')
 def cancelled(context):
     for name in set(context.requests) - set(dispatched(context)):
-        feed(context, messages.RequestCancelled(name))
+        handle(context, messages.RequestCancelled(name))
 
 
 @behave.then('the queue is empty')
@@ -242,20 +242,20 @@
 @behave.then('the announcement names its engine with 1 request of 500 tokens')
 def announced(context):
     chosen = dispatched(context)[context.requests[-1]].upstream.upstream
-    told = context.dispatcher.announcement(context.now_ms)
-    found = [s for s in told.upstreams if s.upstream == chosen]
+    announcement = context.dispatcher.announcement(context.now_ms)
+    found = [s for s in announcement.upstreams if s.upstream == chosen]
     assert found[0].running == 1 and found[0].expected_tokens == 500
 
 
 @behave.when('a peer announces {tokens:d} tokens at each engine')
-def peer_holds(context, tokens):
+def peer_announces(context, tokens):
     for name in context.names:
         digest = messages.DigestReceived('peer', name, 5, tokens)
-        feed(context, digest)
+        handle(context, digest)
 
 
 @behave.then('it is queued')
-def waits(context):
+def is_queued(context):
     assert context.requests[-1] not in dispatched(context)
     assert context.requests[-1] not in refused(context)
 
@@ -264,7 +264,7 @@
 def given_plain(context, count):
     kind = states.ServiceKind.PLAIN
     known = tuple(upstream(f'desk-{n}', kind) for n in range(count))
-    feed(context, messages.UpstreamsChanged(known))
+    handle(context, messages.UpstreamsChanged(known))
 
 
 @behave.when('{count:d} plain calls are made one after another')
@@ -273,13 +273,13 @@
     for index in range(count):
         name = f'call-{index}'
         made = profile(name, service='desk', kind=states.ServiceKind.PLAIN)
-        action = feed(context, messages.RequestArrived(made))[0]
+        action = handle(context, messages.RequestArrived(made))[0]
         context.tried[action.upstream.upstream] += 1
         while action.upstream.upstream == 'desk-0':
-            feed(context, messages.UpstreamFailed('desk-0'))
+            handle(context, messages.UpstreamFailed('desk-0'))
             retry = messages.RetryRequested(name, 'desk-0')
-            action = feed(context, retry)[0]
-        feed(context, messages.RequestEnded(name, True))
+            action = handle(context, retry)[0]
+        handle(context, messages.RequestEnded(name, True))
         context.now_ms += 50.0
 
 
@@ -290,7 +290,7 @@
 
 
 @behave.then('the refusing one is tried less than {count:d} times')
-def tried_less(context, count):
+def rarely_tried(context, count):
     assert context.tried['desk-0'] < count, context.tried
 
 
@@ -299,15 +299,15 @@
     for number in range(count):
         for name in context.names:
             report = load(name, context.total, used, 30, float(number + 1))
-            feed(context, messages.LoadReported(report))
+            handle(context, messages.LoadReported(report))
 
 
 @behave.given('another region has an engine of {tokens:d} tokens')
-def far_engine(context, tokens):
-    far = dataclasses.replace(upstream('far'), region='mainland')
+def remote_engine(context, tokens):
+    remote = dataclasses.replace(upstream('far'), region='mainland')
     known = tuple(upstream(name) for name in context.names)
-    feed(context, messages.UpstreamsChanged((*known, far)))
-    feed(context, messages.LoadReported(load('far', tokens)))
+    handle(context, messages.UpstreamsChanged((*known, remote)))
+    handle(context, messages.LoadReported(load('far', tokens)))
     context.now_ms += 60_000.0
 
 
@@ -315,13 +315,13 @@
     '{span_ms:d} ms pass and the peer still announces {tokens:d} tokens'
     ' at each engine'
 )
-def time_passes_crowded(context, span_ms, tokens):
+def time_passes_with_peer_load(context, span_ms, tokens):
     context.now_ms += span_ms
-    peer_holds(context, tokens)
-    feed(context, messages.Tick())
+    peer_announces(context, tokens)
+    handle(context, messages.Tick())
 
 
 @behave.then('it is dispatched across regions')
-def dispatched_far(context):
+def dispatched_across_regions(context):
     action = dispatched(context)[context.requests[-1]]
     assert action.crosses_region and action.upstream.upstream == 'far'
--- a/tests/steps/policy_engine_pairs.py
+++ b/tests/steps/policy_engine_pairs.py
@@ -191,12 +191,12 @@
 
 
 @behave.then('no engine has more than 1.5 times the mean of runs')
-def evenly(context):
+def balanced(context):
     assert context.share <= 1.5, context.share
 
 
 @behave.then('some engine has more runs than with announcements')
-def unevenly(context):
+def less_balanced(context):
     assert context.share > context.announced, (
         context.share,
         context.announced,
@@ -221,7 +221,7 @@
 
 
 @behave.when('room for one run becomes free')
-def room_comes(context):
+def room_becomes_free(context):
     context.queue.engines = {SERVICE: [_engine('a', 'r', 1_000)]}
     context.results = context.queue.step(1_000.0)
 
@@ -232,7 +232,7 @@
 
 
 @behave.when('the deadline of the other has passed')
-def time_over(context):
+def deadline_passed(context):
     context.results = context.queue.step(5_000.0)
 
 
--- a/tests/steps/policy_limits.py
+++ b/tests/steps/policy_limits.py
@@ -20,7 +20,7 @@
 def drive(context, rates, span_s):
     until_ms = context.now_ms + span_s * 1_000.0
     due = [0.0] * len(context.vms)
-    context.passed = 0
+    context.admitted = 0
     context.span_s = span_s
     exchanged_ms = context.now_ms
     while context.now_ms < until_ms:
@@ -30,7 +30,7 @@
             while due[index] >= 1.0:
                 due[index] -= 1.0
                 wait_ms = vm.admit('hotel', context.now_ms)
-                context.passed += wait_ms == 0.0
+                context.admitted += wait_ms == 0.0
             vm.rebalance(context.now_ms)
         if context.now_ms - exchanged_ms >= EXCHANGE_MS:
             exchanged_ms = context.now_ms
@@ -38,11 +38,13 @@
 
 
 def exchange(context):
-    if context.cut_off:
+    if context.isolated:
         return
-    told = [vm.demands(context.now_ms).get('hotel', 0.0) for vm in context.vms]
+    demands = [
+        vm.demands(context.now_ms).get('hotel', 0.0) for vm in context.vms
+    ]
     for index, vm in enumerate(context.vms):
-        for other, rate in enumerate(told):
+        for other, rate in enumerate(demands):
             if other != index and context.zones[other] == context.zones[index]:
                 vm.record_peer_demand(
                     f'vm-{other}', 'hotel', rate, context.now_ms
@@ -52,7 +54,7 @@
 @behave.given('{count:d} VMs that share a limit of {rate:d} requests a second')
 def given_vms(context, count, rate):
     context.now_ms = 0.0
-    context.cut_off = False
+    context.isolated = False
     context.rate = rate
     context.vms = [limits.AccountLimits() for _ in range(count)]
     context.zones = [0] * count
@@ -75,8 +77,8 @@
 
 
 @behave.when('the VMs are isolated from each other')
-def vms_cut_off(context):
-    context.cut_off = True
+def vms_isolated(context):
+    context.isolated = True
     for vm in context.vms:
         share = vm.shares['hotel'].requests_bucket
         share.spend(share.burst, context.now_ms)
@@ -86,14 +88,14 @@
     'together they admit {rate:d} a second within {percent:d} percent'
 )
 @behave.then('that VM admits {rate:d} a second within {percent:d} percent')
-def let_through(context, rate, percent):
-    found = context.passed / context.span_s
+def admitted(context, rate, percent):
+    found = context.admitted / context.span_s
     assert abs(found - rate) <= rate * percent / 100, found
 
 
 @behave.then('the excess is below one exchange and one burst a VM')
 def excess_bounded(context):
-    excess = context.passed - context.rate * context.span_s
+    excess = context.admitted - context.rate * context.span_s
     count = len(context.vms)
     exchange_s = (EXCHANGE_MS + limits.REBALANCE_INTERVAL_MS) / 1_000.0
     bound = context.rate * exchange_s * (count - 1) / count
@@ -130,16 +132,16 @@
 @behave.when(
     '{rate:d} requests a second arrive at random VMs for {span_s:d} s'
 )
-def come_at_random(context, rate, span_s):
+def arrive_at_random(context, rate, span_s):
     generator = random.Random(1)
     until_ms = context.now_ms + span_s * 1_000.0
     exchanged_ms = context.now_ms
-    context.asked = context.passed = 0
+    context.arrived = context.admitted = 0
     while context.now_ms < until_ms:
         context.now_ms += generator.expovariate(rate) * 1_000.0
         vm = generator.choice(context.vms)
-        context.asked += 1
-        context.passed += vm.admit('hotel', context.now_ms) == 0.0
+        context.arrived += 1
+        context.admitted += vm.admit('hotel', context.now_ms) == 0.0
         if context.now_ms - exchanged_ms >= EXCHANGE_MS:
             exchanged_ms = context.now_ms
             exchange(context)
@@ -148,6 +150,9 @@
 
 
 @behave.then('at most {percent:d} percent of them are refused')
-def hardly_refused(context, percent):
-    refused = context.asked - context.passed
-    assert refused <= context.asked * percent / 100, (refused, context.asked)
+def rarely_refused(context, percent):
+    refused = context.arrived - context.admitted
+    assert refused <= context.arrived * percent / 100, (
+        refused,
+        context.arrived,
+    )
--- a/tests/steps/policy_small_parts.py
+++ b/tests/steps/policy_small_parts.py
@@ -125,7 +125,7 @@
 
 
 @behave.when('the engine reports the eviction of the last 2 prefixes')
-def evicted(context):
+def eviction_reported(context):
     context.affinity.evicted('engine', ('d', 'c', 'never seen'))
 
 
@@ -223,7 +223,7 @@
 
 
 @behave.then('the flooding account would wait more than {bound_s:d} s')
-def flood_waits(context, bound_s):
+def flood_expected_wait(context, bound_s):
     profile = queued('next', 'flood').profile
     assert context.queue.expected_wait_ms(profile) > bound_s * 1_000
 
@@ -231,7 +231,7 @@
 @behave.then(
     'an account of the same weight with less service waits below {bound_s:d} s'
 )
-def small_waits(context, bound_s):
+def small_expected_wait(context, bound_s):
     profile = queued('next', 'small').profile
     assert context.queue.expected_wait_ms(profile) < bound_s * 1_000
 
