--- a/benchmarks/outcomes/__main__.py
+++ b/benchmarks/outcomes/__main__.py
@@ -1,6 +1,6 @@
 """Runs random histories: ``python -m benchmarks.outcomes --seed 1``.
 
-The bound: not one history may break a promise.
+Requirement: no history violates an invariant.
 """
 
 import sys
@@ -11,8 +11,8 @@
 from hypothesis import stateful
 import typer
 
-from tests import claim_world
-from tests import generation_world
+from tests import claim_simulation
+from tests import generation_simulation
 
 __all__ = ['main']
 
@@ -42,10 +42,10 @@
 
 
 def main(histories: int = 2_000, seed: int = 1) -> None:
-    """Run histories of both kinds, and end with 1 if one is wrong."""
+    """Run both kinds of histories; exit with 1 if an invariant fails."""
     worlds = (
-        hypothesis.seed(seed)(generation_world.GenerationHistories),
-        hypothesis.seed(seed)(claim_world.ClaimHistories),
+        hypothesis.seed(seed)(generation_simulation.GenerationHistories),
+        hypothesis.seed(seed)(claim_simulation.ClaimHistories),
     )
     held = [_run(world, histories) for world in worlds]
     sys.exit(0 if all(held) else 1)
--- a/eelgrassknot/forwarding/access.py
+++ b/eelgrassknot/forwarding/access.py
@@ -1,9 +1,9 @@
-"""Client accounts by key, and how long what is known of them holds.
+"""Authentication of API keys with a bound on the use of revoked keys.
 
-A VM may not open a revoked key, so it has to know how old its knowledge
-is. The store's steady clock is the common clock of all VMs: an answer
-that bears a store time proves what held then, also when a peer passes it
-on and however long it took.
+A VM must not accept a revoked key, so it tracks the age of its copy of the
+accounts. The store's monotonic clock serves as the common clock of all
+VMs: a response with a store time proves what was valid at that time, even
+if a peer relays it and regardless of the delay.
 """
 
 import enum
@@ -11,20 +11,20 @@
 from eelgrassknot.forwarding import model
 from eelgrassknot import ids
 
-__all__ = ['AccessBook', 'Standing', 'StoreClock']
+__all__ = ['KeyAuthenticator', 'KeyStatus', 'StoreClock']
 
-REVOKE_MARGIN_MS = 300.0
-"""Part of the revocation bound that is kept in reserve; ms. Covers the
-time between the check and the sending of a request."""
+REVOCATION_MARGIN_MS = 300.0
+"""Safety margin subtracted from the revocation bound; ms. Covers the time
+between the check of a key and the sending of the request."""
 NEVER_MS = float('-inf')
 
 
 class StoreClock:
-    """Maps the store's steady clock to this VM's clock.
+    """Maps the store's monotonic clock to this VM's clock.
 
-    A call that was sent at ``sent`` and answered with the store time
-    ``s`` shows that the store's clock is ahead by at most ``s - sent``.
-    The least such bound of all calls is kept.
+    A call sent at ``sent`` whose response carries the store time ``s``
+    shows that the store's clock is ahead by at most ``s - sent``. The
+    smallest such bound over all calls is kept.
 
     Example:
         >>> clock = StoreClock()
@@ -34,98 +34,100 @@
     """
 
     def __init__(self) -> None:
-        self.ahead_ms: float | None = None
+        self.offset_ms: float | None = None
 
     def observe(
         self, sent_ms: float, received_ms: float, store_ms: float
     ) -> None:
-        """Take in one answered call.
+        """Update the clock offset with one completed call.
 
         Args:
-            sent_ms: When it was sent, on this VM's clock.
-            received_ms: When its answer came, on this VM's clock.
-            store_ms: The store's time in the answer.
+            sent_ms: Send time, on this VM's clock.
+            received_ms: Time of the response, on this VM's clock.
+            store_ms: The store's time in the response.
         """
-        highest = store_ms - sent_ms
-        lowest = store_ms - received_ms
-        if self.ahead_ms is None or highest < self.ahead_ms:
-            self.ahead_ms = highest
-        elif lowest > self.ahead_ms:
-            # The store's clock has jumped, so earlier bounds are void.
-            self.ahead_ms = highest
+        highest_ms = store_ms - sent_ms
+        lowest_ms = store_ms - received_ms
+        if self.offset_ms is None or highest_ms < self.offset_ms:
+            self.offset_ms = highest_ms
+        elif lowest_ms > self.offset_ms:
+            # The store's clock has jumped; earlier bounds are invalid.
+            self.offset_ms = highest_ms
 
     def local_ms(self, store_ms: float) -> float:
-        """Return the earliest time here for a time of the store's clock.
+        """Return the earliest local time that matches a store time.
 
-        Minus infinity if no call has been answered yet.
+        Minus infinity if no call has completed yet.
         """
-        if self.ahead_ms is None:
+        if self.offset_ms is None:
             return NEVER_MS
-        return store_ms - self.ahead_ms
+        return store_ms - self.offset_ms
 
 
-class Standing(enum.Enum):
-    """What a key is worth now."""
+class KeyStatus(enum.Enum):
+    """Result of the authentication of a key."""
 
-    OPEN = 'open'
+    VALID = 'open'
     UNKNOWN_KEY = 'unknown_key'
     OUT_OF_DATE = 'out_of_date'
 
 
-class AccessBook:
-    """Keys of the newest state, and the time as of which it is known.
+class KeyAuthenticator:
+    """Authenticates API keys against the newest known state.
 
     Args:
-        revoke_ms: Bound on the use of a revoked key, or None.
+        revoke_ms: Longest time for which a revoked key may be accepted, or
+            None for no bound.
 
     Attributes:
-        known_ms: Time up to which no newer state can exist unseen.
+        confirmed_ms: Latest time at which the state is known to have been
+            the newest.
     """
 
     def __init__(self, revoke_ms: float | None) -> None:
         self.revoke_ms = revoke_ms
         self.accounts: dict[str, model.Account] = {}
-        self.known_ms = NEVER_MS
+        self.confirmed_ms = NEVER_MS
 
-    def replace(self, accounts: tuple[model.Account, ...]) -> None:
-        """Put the accounts of a newer state in force."""
+    def replace_accounts(self, accounts: tuple[model.Account, ...]) -> None:
+        """Replace the accounts by those of a newer state."""
         self.accounts = {
             key: account for account in accounts for key in account.keys
         }
 
     def confirm(self, as_of_ms: float) -> None:
-        """Take in that the state is the newest as of a time."""
-        self.known_ms = max(self.known_ms, as_of_ms)
+        """Record that the state was the newest at a given time."""
+        self.confirmed_ms = max(self.confirmed_ms, as_of_ms)
 
     def is_current(self, now_ms: float) -> bool:
-        """Return whether keys may be opened now."""
+        """Return whether the state is recent enough to accept keys."""
         if self.revoke_ms is None:
             return True
-        age_ms = now_ms - self.known_ms
-        return age_ms < self.revoke_ms - REVOKE_MARGIN_MS
+        age_ms = now_ms - self.confirmed_ms
+        return age_ms < self.revoke_ms - REVOCATION_MARGIN_MS
 
     def age_ms(self, now_ms: float) -> float | None:
-        """Return how old what is known is, or None if nothing is."""
-        if self.known_ms == NEVER_MS:
+        """Return the age of the state in ms, or None if none is known."""
+        if self.confirmed_ms == NEVER_MS:
             return None
-        return round(now_ms - self.known_ms, 1)
+        return round(now_ms - self.confirmed_ms, 1)
 
-    def judge(
+    def authenticate(
         self, key: str | None, now_ms: float
-    ) -> tuple[Standing, model.Account | None]:
-        """Return what a key is worth and the account that holds it.
+    ) -> tuple[KeyStatus, model.Account | None]:
+        """Return the status of a key and the account that owns it.
 
         Args:
             key: The key of a request, or None.
-            now_ms: The present time.
+            now_ms: The current time.
         """
         if not self.is_current(now_ms):
-            # Neither a revocation nor a new key can be ruled out.
-            return Standing.OUT_OF_DATE, None
+            # A newer state may have revoked this key or added it.
+            return KeyStatus.OUT_OF_DATE, None
         account = self.accounts.get(key or '')
         if account is None:
-            return Standing.UNKNOWN_KEY, None
-        return Standing.OPEN, account
+            return KeyStatus.UNKNOWN_KEY, None
+        return KeyStatus.VALID, account
 
 
 def account_name(
--- a/eelgrassknot/forwarding/engine_scheduler.py
+++ b/eelgrassknot/forwarding/engine_scheduler.py
@@ -1,4 +1,4 @@
-"""Hands streams to engines: the queue of this VM and who waits in it."""
+"""Scheduling of streams on engines, with this VM's queue."""
 
 import collections.abc
 import typing
@@ -12,59 +12,59 @@
 from eelgrassknot.policy import health
 from eelgrassknot import states
 
-__all__ = ['EngineDesk']
+__all__ = ['EngineScheduler']
 
-STEP_MS = 50.0
-"""How often those who wait are looked at if nothing changes; ms."""
+POLL_INTERVAL_MS = 50.0
+"""Interval at which waiting streams are reconsidered without a change; ms."""
 
-Taker = collections.abc.Callable[
+PlacementCallback = collections.abc.Callable[
     [engine_queue.Placement | engine_queue.Refusal], None
 ]
 
 
-class StreamInHand(typing.Protocol):
-    """What the desk needs of a stream's driver."""
+class ActiveStream(typing.Protocol):
+    """Interface of a stream's driver."""
 
     def upstream_leaving(self, upstream: str) -> None:
-        """Take in that an upstream is about to leave or has left."""
+        """Handle an upstream that is leaving or has left."""
 
 
-class EngineDesk:
-    """Engines in use and the streams that wait for one.
+class EngineScheduler:
+    """Engines in use and the streams waiting for one.
 
     Args:
         loop: The event loop.
         region: Region of this VM.
-        book: Health of the engines.
+        health: Health of the engines.
 
     Attributes:
-        streams: Drivers of all streams in hand.
-        upstreams: Every upstream that is listed, by name.
-        takers: Who is told of the placement of a waiting stream.
+        streams: Drivers of all active streams.
+        upstreams: All listed upstreams by name.
+        callbacks: Placement callbacks of the waiting streams.
     """
 
     def __init__(
         self,
         loop: loops.EventLoop,
         region: ids.RegionId,
-        book: health.HealthTracker,
+        health: health.HealthTracker,
     ) -> None:
         self.loop = loop
         self.region = region
-        self.streams: set[StreamInHand] = set()
-        self.queue = engine_queue.EngineQueue(book)
+        self.streams: set[ActiveStream] = set()
+        self.queue = engine_queue.EngineQueue(health)
         self.upstreams: dict[str, model.Upstream] = {}
-        self.takers: dict[ids.RequestId, Taker] = {}
-        self.stepping = False
+        self.callbacks: dict[ids.RequestId, PlacementCallback] = {}
+        self.is_step_scheduled = False
         self.timer: loops.Timer | None = None
 
-    def replace(
+    def update_engines(
         self,
         upstreams: dict[str, model.Upstream],
         services: dict[ids.ServiceName, model.Service],
         warm_until_ms: dict[str, float],
     ) -> None:
-        """Put the engines that are listed now in use."""
+        """Replace the engines by those that are currently listed."""
         self.upstreams = upstreams
         now_ms = self.loop.now_ms()
         engines: dict[ids.ServiceName, list[engine_pairs.Engine]] = {}
@@ -86,32 +86,32 @@
                 )
             )
         self.queue.engines = engines
-        self.step_soon()
+        self.schedule_step()
 
     def submit(
-        self, order: engine_queue.PlacementRequest, taker: Taker
+        self, order: engine_queue.PlacementRequest, callback: PlacementCallback
     ) -> None:
-        """Have a stream placed, at once if there is room."""
-        self.takers[order.request] = taker
+        """Enqueue a stream; it is placed at once if an engine has room."""
+        self.callbacks[order.request] = callback
         self.queue.submit(order)
         self.step()
 
     def withdraw(self, request: ids.RequestId) -> None:
-        """Forget a stream that waits."""
-        self.takers.pop(request, None)
+        """Remove a waiting stream from the queue."""
+        self.callbacks.pop(request, None)
         self.queue.cancel(request)
 
     def commitment(
         self, request: ids.RequestId
     ) -> commitments.Commitment | None:
-        """Return what is counted for a stream."""
+        """Return the resources committed to a stream."""
         return self.queue.commitments.runs.get(request)
 
     def release(self, request: ids.RequestId) -> None:
-        """Count a stream as ended, which may make room for another."""
+        """Release a stream's resources, which may make room for another."""
         self.queue.commitments.release(request)
         if self.queue.waiting:
-            self.step_soon()
+            self.schedule_step()
 
     def place_copy(
         self,
@@ -120,57 +120,59 @@
         refused: frozenset[str] = frozenset(),
         must_fit: bool = True,
     ) -> model.Upstream | None:
-        """Return where the copy of a run is to be kept, and count it.
+        """Choose an engine for the copy of a run and commit its memory.
 
         Args:
-            request: The request that runs.
-            primary: Where it runs.
-            refused: Engines that will not do.
-            must_fit: Whether only an engine with room will do.
+            request: The running request.
+            primary: Engine that runs it.
+            refused: Engines that are excluded.
+            must_fit: Whether the engine must have enough free memory.
         """
-        counted = self.commitment(request)
-        if counted is None:
+        commitment = self.commitment(request)
+        if commitment is None:
             return None
-        counted.copy = None
+        commitment.copy = None
         engine = self.queue.place_copy(
             primary.service,
             engine_pairs.Location(
                 primary.upstream, primary.region, primary.availability_zone
             ),
-            counted.tokens,
+            commitment.tokens,
             refused,
             must_fit,
             self.loop.now_ms(),
         )
         if engine is None:
             return None
-        counted.copy = engine.upstream
+        commitment.copy = engine.upstream
         return self.upstreams.get(engine.upstream)
 
     def upstream_leaving(self, upstream: str) -> None:
-        """Tell all streams that an upstream leaves or has left."""
+        """Notify all streams that an upstream is leaving or has left."""
         for stream in list(self.streams):
             stream.upstream_leaving(upstream)
 
-    def step_soon(self) -> None:
-        """Look at those who wait in the next round of the loop."""
-        if not self.stepping:
-            self.stepping = True
-            self.loop.call_soon(self._step_now)
+    def schedule_step(self) -> None:
+        """Reconsider the waiting streams in the loop's next iteration."""
+        if not self.is_step_scheduled:
+            self.is_step_scheduled = True
+            self.loop.call_soon(self._run_scheduled_step)
 
     def step(self) -> None:
-        """Place those who fit."""
-        for told in self.queue.step(self.loop.now_ms()):
-            taker = self.takers.pop(told.request, None)
-            if taker is not None:
-                taker(told)
+        """Place the waiting streams for which an engine has room."""
+        for outcome in self.queue.step(self.loop.now_ms()):
+            callback = self.callbacks.pop(outcome.request, None)
+            if callback is not None:
+                callback(outcome)
         if self.queue.waiting and self.timer is None:
-            self.timer = self.loop.call_later(STEP_MS, self._timed_step)
+            self.timer = self.loop.call_later(
+                POLL_INTERVAL_MS, self._run_timed_step
+            )
 
-    def _step_now(self) -> None:
-        self.stepping = False
+    def _run_scheduled_step(self) -> None:
+        self.is_step_scheduled = False
         self.step()
 
-    def _timed_step(self) -> None:
+    def _run_timed_step(self) -> None:
         self.timer = None
         self.step()
--- a/eelgrassknot/forwarding/error_responses.py
+++ b/eelgrassknot/forwarding/error_responses.py
@@ -1,13 +1,13 @@
-"""Answers of our own: refusals and failures, with remedy and outcome."""
+"""Error responses of the VM itself, with a remedy and an outcome."""
 
 import msgspec
 
 from eelgrassknot.forwarding import caller_connection
 from eelgrassknot import states
 
-__all__ = ['refuse']
+__all__ = ['send_error']
 
-_TYPES = {
+_ERROR_TYPES = {
     400: 'invalid_request',
     401: 'authentication',
     404: 'no_route',
@@ -27,28 +27,28 @@
 }
 
 
-def refuse(
+def send_error(
     exchange: caller_connection.Exchange,
     status: int,
     outcome: states.Outcome,
     reason: str,
     retry_after_ms: float | None = None,
 ) -> None:
-    """Answer a request that no upstream has answered.
+    """Send an error response to a request without an upstream response.
 
     Args:
         exchange: The request.
-        status: Status of the answer.
-        outcome: What became of the work.
-        reason: Short name of the cause.
-        retry_after_ms: When the caller may come again, or None.
+        status: HTTP status code.
+        outcome: Whether the request was executed.
+        reason: Error code.
+        retry_after_ms: Delay before the caller may retry, or None.
     """
     if exchange.is_over:
         return
     body = msgspec.json.encode(
         {
             'error': {
-                'type': _TYPES.get(status, 'error'),
+                'type': _ERROR_TYPES.get(status, 'error'),
                 'code': reason,
                 'message': f'the request was not served: {reason}',
                 'remedy': _REMEDIES.get(status, 'see the code'),
--- a/eelgrassknot/forwarding/kv_transfer.py
+++ b/eelgrassknot/forwarding/kv_transfer.py
@@ -1,4 +1,4 @@
-"""One move of a run's memory from its engine to another."""
+"""Transfer of a run's KV cache from its engine to another one."""
 
 import collections.abc
 import dataclasses
@@ -9,87 +9,90 @@
 from eelgrassknot.forwarding import work as works
 from eelgrassknot import ids
 
-__all__ = ['Plan', 'RunMove']
+__all__ = ['TransferPlan', 'KvTransfer']
 
-MOVE_TIMEOUT_MS = 1_800.0
-"""Longest wait for a move; ms. Engines leave 1.5 to 2.1 s after notice."""
+TRANSFER_TIMEOUT_MS = 1_800.0
+"""Timeout of a transfer; ms. Engines leave 1.5 to 2.1 s after notice."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Plan:
-    """A move that is to be made; the run goes on meanwhile."""
+class TransferPlan:
+    """A planned transfer; the run continues meanwhile."""
 
     request: ids.RequestId
     source: model.Upstream
     target: model.Upstream
 
 
-class RunMove(upstream_connection.AttemptListener):
-    """Calls the source and waits for the copy.
+class KvTransfer(upstream_connection.AttemptListener):
+    """Requests the transfer from the source and waits for its completion.
 
     Args:
-        context: What drivers use.
-        plan: The move.
-        done: Is called once, with the copy's name or None.
+        context: Shared dependencies of all drivers.
+        plan: The transfer.
+        on_done: Called once with the handle of the copy, or None on
+            failure.
     """
 
     def __init__(
         self,
         context: works.Context,
-        plan: Plan,
-        done: collections.abc.Callable[[Plan, str | None], None],
+        plan: TransferPlan,
+        on_done: collections.abc.Callable[[TransferPlan, str | None], None],
     ) -> None:
         self.context = context
         self.plan = plan
-        self.done = done
+        self.on_done = on_done
         self.status = 0
         self.body = b''
-        self.over = False
-        head, body = context.dialect.encode_move(
+        self.is_over = False
+        head, body = context.dialect.encode_kv_transfer(
             plan.source.address,
             plan.request,
             plan.target.address,
             False,
         )
         self.timer = context.loop.call_later(
-            MOVE_TIMEOUT_MS, lambda: self._end(None)
+            TRANSFER_TIMEOUT_MS, lambda: self._finish(None)
         )
         self.attempt = upstream_connection.Attempt(
-            context.links,
+            context.connections,
             None,
             plan.source.address,
             self,
             lambda: head,
             body,
-            context.dialect.answered_request,
-            proven=True,
+            context.dialect.echoed_request_id,
+            require_fresh=True,
         )
 
     def cancel(self) -> None:
-        """Take no interest in the move any more."""
-        if not self.over:
-            self.over = True
+        """Abandon the transfer without a callback."""
+        if not self.is_over:
+            self.is_over = True
             self.timer.cancel()
             self.attempt.cancel()
 
-    def answer_started(
+    def response_started(
         self,
         attempt: upstream_connection.Attempt,
         status: int,
         headers: list[tuple[bytes, bytes]],
     ) -> None:
-        """Take in the head of the answer."""
+        """Store the status of the response."""
         self.status = status
 
-    def answer_data(
+    def response_data(
         self, attempt: upstream_connection.Attempt, data: bytes
     ) -> None:
-        """Take in a part of its body."""
+        """Buffer a part of the body."""
         self.body += data
 
-    def answer_ended(self, attempt: upstream_connection.Attempt) -> None:
-        """Take in that the answer is complete."""
-        self._end(self.context.dialect.decode_move(self.status, self.body))
+    def response_completed(self, attempt: upstream_connection.Attempt) -> None:
+        """Decode the complete response."""
+        self._finish(
+            self.context.dialect.decode_kv_transfer(self.status, self.body)
+        )
 
     def attempt_failed(
         self,
@@ -97,13 +100,13 @@
         fault: upstream_connection.Fault,
         bytes_left: bool,
     ) -> None:
-        """Take in that no answer will come."""
-        self._end(None)
+        """Report the failure of the transfer."""
+        self._finish(None)
 
-    def _end(self, handle: str | None) -> None:
-        if self.over:
+    def _finish(self, handle: str | None) -> None:
+        if self.is_over:
             return
-        self.over = True
+        self.is_over = True
         self.timer.cancel()
         self.attempt.cancel()
-        self.done(self.plan, handle)
+        self.on_done(self.plan, handle)
--- a/eelgrassknot/forwarding/upstream_directory.py
+++ b/eelgrassknot/forwarding/upstream_directory.py
@@ -1,8 +1,8 @@
-"""Upstreams as the platform's store lists them.
+"""Directory of the upstreams listed in the platform's store.
 
-Entries lapse while the store is away, because servers cannot refresh
-them. Those whose servers live are back soon after its return; until then
-a missing entry says nothing.
+Entries expire during a store outage, because servers cannot refresh them.
+Live servers write theirs again soon after the store has recovered; until
+then a missing entry does not mean that the server has gone.
 """
 
 import collections.abc
@@ -13,46 +13,48 @@
 
 __all__ = ['UpstreamDirectory']
 
-RETURN_GRACE_MS = 2_200.0
-"""Lapsed entries are back within 2 s of the store's return; ms."""
+RECOVERY_GRACE_MS = 2_200.0
+"""How long expired entries are kept after the store has recovered; ms.
+Live servers write them again within 2 s."""
 
-Listener = collections.abc.Callable[[str], None]
+LeavingCallback = collections.abc.Callable[[str], None]
 
 
 class UpstreamDirectory:
-    """What is known of all upstreams.
+    """Known upstreams and their state.
 
     Args:
-        leaving: Is called with the name of each that leaves or has left.
+        on_leaving: Called with the name of each upstream that is leaving
+            or has left.
 
     Attributes:
-        upstreams: All that are listed, those that are leaving included.
-        missing: Those not listed any more, with the time at which they
-            are taken for gone.
-        warm_until_ms: When each is at its full speed.
+        upstreams: All listed upstreams, including those that are leaving.
+        expiring: Upstreams that are no longer listed, with the time at
+            which they are removed.
+        warm_until_ms: When each upstream reaches its full speed.
     """
 
-    def __init__(self, leaving: Listener) -> None:
-        self.leaving = leaving
+    def __init__(self, on_leaving: LeavingCallback) -> None:
+        self.on_leaving = on_leaving
         self.upstreams: dict[str, model.Upstream] = {}
-        self.missing: dict[str, float] = {}
+        self.expiring: dict[str, float] = {}
         self.warm_until_ms: dict[str, float] = {}
-        self.returned_ms = float('-inf')
+        self.store_recovered_ms = float('-inf')
 
-    def store_returned(self, now_ms: float) -> None:
-        """Take in that the store answers after it was away."""
-        self.returned_ms = now_ms
+    def record_store_recovery(self, now_ms: float) -> None:
+        """Record that the store responds again after an outage."""
+        self.store_recovered_ms = now_ms
 
     def put(self, upstream: model.Upstream, now_ms: float) -> None:
-        """Take in a new or changed entry."""
+        """Add or update an entry."""
         name = upstream.upstream
         before = self.upstreams.get(name)
-        self.missing.pop(name, None)
+        self.expiring.pop(name, None)
         if before is not None and before.started_at_ms != (
             upstream.started_at_ms
         ):
-            # Started again under its name: what ran there is lost.
-            self.leaving(name)
+            # Restarted under the same name: its running requests are lost.
+            self.on_leaving(name)
             before = None
         self.upstreams[name] = upstream
         self.warm_until_ms[name] = now_ms + upstream.warm_up_ms
@@ -68,28 +70,28 @@
                 state=upstream.state.value,
             )
         if was_live and upstream.state is states.UpstreamState.LEAVING:
-            self.leaving(name)
+            self.on_leaving(name)
 
     def remove(self, name: str, now_ms: float) -> None:
-        """Take in that an entry is gone."""
-        if name not in self.upstreams or name in self.missing:
+        """Handle the removal of an entry from the store."""
+        if name not in self.upstreams or name in self.expiring:
             return
-        back_by_ms = self.returned_ms + RETURN_GRACE_MS
+        back_by_ms = self.store_recovered_ms + RECOVERY_GRACE_MS
         live = self.upstreams[name].state is states.UpstreamState.LIVE
         if live and now_ms < back_by_ms:
-            self.missing[name] = back_by_ms
+            self.expiring[name] = back_by_ms
             return
-        self._drop(name)
+        self._remove(name)
 
-    def step(self, now_ms: float) -> None:
-        """Drop those that did not come back in time."""
-        for name, due_ms in list(self.missing.items()):
+    def expire(self, now_ms: float) -> None:
+        """Remove the upstreams whose entries were not restored in time."""
+        for name, due_ms in list(self.expiring.items()):
             if now_ms >= due_ms:
-                del self.missing[name]
-                self._drop(name)
+                del self.expiring[name]
+                self._remove(name)
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         upstream = self.upstreams.pop(name)
         self.warm_until_ms.pop(name, None)
         logs.event('upstream_gone', upstream=name, address=upstream.address)
-        self.leaving(name)
+        self.on_leaving(name)
--- a/eelgrassknot/frontend/relay.py
+++ b/eelgrassknot/frontend/relay.py
@@ -1,4 +1,4 @@
-"""Carries one generation from an engine to its caller."""
+"""Relays one generation from an engine to its caller."""
 
 import collections
 import collections.abc
@@ -8,13 +8,13 @@
 
 from eelgrassknot.frontend import context as contexts
 from eelgrassknot.frontend import engine_answers
-from eelgrassknot.frontend import lane as lanes
+from eelgrassknot.frontend import stream_multiplexer
 from eelgrassknot import ids
 from eelgrassknot.kernel import events as kernel_events
 from eelgrassknot.policy import messages as policy
-from eelgrassknot.requests import facts
 from eelgrassknot.requests import generation as generations
 from eelgrassknot.requests import generation_messages as messages
+from eelgrassknot.requests import records
 from eelgrassknot import states
 from eelgrassknot.upstreams import engine_client
 from eelgrassknot.upstreams import engine_stream
@@ -27,7 +27,7 @@
 
 MAX_WAIT_MS = 500.0
 PROBE_POLL_MS = 10.0
-REPORT_TOKENS = 16
+REPORT_BATCH_TOKENS = 16
 LATE_GAP_MS = 60.0
 
 Step = (
@@ -40,20 +40,21 @@
 
 
 class Relay:
-    """Does the I/O that one generation request asks for.
+    """Performs the I/O of one generation request.
 
     Args:
-        context: The caller's request.
-        part: What all relays of this VM share.
-        machine: Decides how the request goes on.
-        profile: What the dispatcher knows of it, or None for a reader
-            that goes on with a running generation.
-        body: Body that starts the generation at an engine.
-        generation: Identifier that all attempts share, or None for one
-            of its own for each.
+        context: Context of the caller's request.
+        part: State shared by all relays of this VM.
+        machine: State machine of the request.
+        profile: Request profile used by the dispatcher, or None for a
+            reader that resumes an existing generation.
+        service: Service that is called.
+        body: Request body that starts the generation on an engine.
+        generation: Generation identifier shared by all attempts, or None
+            to use a new one for each attempt.
 
     Attributes:
-        superseded: Set when a newer reader has come.
+        superseded: Set when a newer reader has taken over.
     """
 
     def __init__(
@@ -84,34 +85,34 @@
         self.unreported = 0
         self.bytes_in = 0
         self.bytes_out = 0
-        self.cancelled: messages.CancelGeneration | None = None
+        self.cancel_action: messages.CancelGeneration | None = None
         self.encode: Encode | None = None
 
-    def deliver_by(self, encode: 'Encode') -> None:
-        """Let the lane send tokens; the answer's head has been sent."""
+    def enable_multiplexing(self, encode: 'Encode') -> None:
+        """Allow use of the multiplexer; the response head has been sent."""
         self.encode = encode
 
     def supersede(self) -> None:
-        """End this reader, as a newer one has come."""
+        """Stop this reader because a newer one has taken over."""
         self.superseded.set()
 
     def place(self) -> list[messages.Action]:
-        """Wait until the dispatcher has placed or refused the request."""
+        """Submit the request and wait until it is placed or refused."""
         future = self.context.dispatch.submit(
             policy.RequestArrived(self.profile)
         )
-        return self._placed(future)
+        return self._await_placement(future)
 
     def run(
         self, actions: list[messages.Action]
     ) -> collections.abc.Iterator[Step]:
-        """Carry out actions until the request has ended.
+        """Perform actions until the request has ended.
 
         Args:
-            actions: What to begin with.
+            actions: Initial actions.
 
         Yields:
-            Tokens to deliver, and at last how the request ended.
+            Tokens to deliver, and finally the outcome of the request.
         """
         pending = collections.deque(actions)
         tokens: list[upstream_messages.Token] = []
@@ -131,7 +132,7 @@
                         case messages.DiscardTokens():
                             yield action
                         case _:
-                            pending.extend(self._carry_out(action))
+                            pending.extend(self._perform(action))
                 if tokens:
                     yield tokens
                     tokens = []
@@ -140,7 +141,7 @@
         finally:
             self._finish()
 
-    def _carry_out(self, action: messages.Action) -> list[messages.Action]:
+    def _perform(self, action: messages.Action) -> list[messages.Action]:
         match action:
             case messages.OpenStream(connection, upstream, generation):
                 self._register(generation)
@@ -151,13 +152,13 @@
                 stream = engine_stream.EngineStream(
                     'GET', f'{url}?from={at}', None, self._headers()
                 )
-                self._use(connection, stream)
+                self._replace_stream(connection, stream)
             case messages.CloseStream():
                 self._close()
             case messages.AskStatus(probe, upstream, generation):
                 self.probe_number = probe
-                self.probe = self.part.questions.submit(
-                    engine_client.status, upstream.address, generation
+                self.probe = self.part.query_executor.submit(
+                    engine_client.fetch_status, upstream.address, generation
                 )
             case messages.CancelGeneration():
                 self._cancel(action)
@@ -198,9 +199,9 @@
             self.body,
             headers,
         )
-        self._use(connection, stream)
+        self._replace_stream(connection, stream)
 
-    def _use(
+    def _replace_stream(
         self, connection: int, stream: engine_stream.EngineStream
     ) -> None:
         self._close()
@@ -209,27 +210,27 @@
 
     def _close(self) -> None:
         if self.stream is not None:
-            self.bytes_in += self.stream.bytes_in
+            self.bytes_in += self.stream.received_bytes
             self.stream.close()
             self.stream = None
 
     def _cancel(self, action: messages.CancelGeneration) -> None:
         if self.machine.stage is generations.Stage.ENDED:
-            self.cancelled = action
+            self.cancel_action = action
             return
         self._release()
         self.part.cancel(action, None)
 
     def _place_again(self, failed: ids.UpstreamId) -> list[messages.Action]:
         dispatch = self.context.dispatch
-        dispatch.tell(policy.UpstreamFailed(failed))
-        return self._placed(
+        dispatch.notify(policy.UpstreamFailed(failed))
+        return self._await_placement(
             dispatch.submit(
                 policy.RetryRequested(self.profile.request, failed)
             )
         )
 
-    def _placed(
+    def _await_placement(
         self, future: concurrent.futures.Future
     ) -> list[messages.Action]:
         request = self.profile.request
@@ -240,8 +241,8 @@
             except concurrent.futures.TimeoutError:
                 if self.context.caller.is_gone():
                     self.context.dispatch.cancel(request)
-                    return self._tell(messages.CallerGone())
-                ended = self._tell(messages.Tick())
+                    return self._handle(messages.CallerGone())
+                ended = self._handle(messages.Tick())
                 if ended:
                     self.context.dispatch.cancel(request)
                     return ended
@@ -250,19 +251,19 @@
                 generation = self.generation
                 if generation is None:
                     generation = ids.GenerationId(ids.random_id())
-                return self._tell(
+                return self._handle(
                     messages.Placed(upstream, generation, crosses)
                 )
             case policy.Refuse(_, reason, retry_after_ms):
-                return self._tell(messages.Refused(reason, retry_after_ms))
+                return self._handle(messages.Refused(reason, retry_after_ms))
         return []
 
-    def _tell(self, event: messages.Event) -> list[messages.Action]:
+    def _handle(self, event: messages.Event) -> list[messages.Action]:
         return self.machine.handle(event, self.clock.now_ms())
 
     def _wait(self) -> list[messages.Action]:
         if self.superseded.is_set():
-            return self._tell(messages.ReaderSuperseded())
+            return self._handle(messages.ReaderSuperseded())
         now_ms = self.clock.now_ms()
         wait_ms = min(self.machine.wake_ms() - now_ms, MAX_WAIT_MS)
         if self.probe is not None:
@@ -270,46 +271,47 @@
         wait_ms = max(wait_ms, 0.0)
         if self.stream is None:
             self.superseded.wait(wait_ms / 1000)
-            return self._idle()
-        if self._may_ride():
-            return self._ride()
+            return self._handle_idle()
+        if self._can_multiplex():
+            return self._run_multiplexed()
         events = self.stream.read(wait_ms)
         if not events:
-            return self._idle()
-        return self._take(events)
+            return self._handle_idle()
+        return self._process_events(events)
 
-    def _ride(self) -> list[messages.Action]:
-        ride = lanes.Ride(
+    def _run_multiplexed(self) -> list[messages.Action]:
+        stream = stream_multiplexer.MultiplexedStream(
             self, self.encode, self.context.caller, self.stream.descriptor
         )
-        self.part.lane.carry(ride)
-        if ride.unsent and not ride.broken:
+        self.part.multiplexer.run(stream)
+        if stream.unsent and not stream.broken:
             try:
-                # Slows this stream alone: the engine waits for us.
-                self.context.caller.socket.sendall(ride.unsent)
+                # Blocks only this stream: its engine is not read from
+                # until the caller has accepted the data.
+                self.context.caller.socket.sendall(stream.unsent)
             except OSError:
-                ride.broken = True
-        if ride.broken:
-            return ride.actions + self._tell(messages.CallerGone())
-        if ride.events:
-            ride.actions += self._take(ride.events)
-        elif not ride.actions and not ride.unsent:
-            return self._take_ready()
-        return ride.actions
-
-    def _may_ride(self) -> bool:
+                stream.broken = True
+        if stream.broken:
+            return stream.actions + self._handle(messages.CallerGone())
+        if stream.events:
+            stream.actions += self._process_events(stream.events)
+        elif not stream.actions and not stream.unsent:
+            return self._process_ready_events()
+        return stream.actions
+
+    def _can_multiplex(self) -> bool:
         if self.encode is None or self.probe is not None:
             return False
-        return self.stream.flows()
+        return self.stream.is_streaming()
 
-    def _take_ready(self) -> list[messages.Action]:
-        # A slow caller may have kept this stream from being read.
+    def _process_ready_events(self) -> list[messages.Action]:
+        # The stream may not have been read because of a slow caller.
         events = self.stream.read(0)
         if not events:
-            return self._idle()
-        return self._take(events)
+            return self._handle_idle()
+        return self._process_events(events)
 
-    def _take(
+    def _process_events(
         self, events: list[upstream_messages.StreamEvent]
     ) -> list[messages.Action]:
         now_ms = self.clock.now_ms()
@@ -318,55 +320,55 @@
         actions: list[messages.Action] = []
         for event in events:
             if type(event) is _Token:
-                actions += machine.take_token(connection, event, now_ms)
+                actions += machine.receive_token(connection, event, now_ms)
             else:
                 actions += machine.handle(
                     engine_answers.stream_event(connection, event), now_ms
                 )
-        self.report(len(actions), now_ms)
+        self.report_tokens(len(actions), now_ms)
         return actions
 
-    def _idle(self) -> list[messages.Action]:
+    def _handle_idle(self) -> list[messages.Action]:
         if self.context.caller.is_gone():
-            return self._tell(messages.CallerGone())
+            return self._handle(messages.CallerGone())
         if self.probe is not None and self.probe.done():
             answer = self.probe.result()
             self.probe = None
-            return self._tell(
+            return self._handle(
                 engine_answers.status_event(self.probe_number, answer)
             )
-        return self._tell(messages.Tick())
+        return self._handle(messages.Tick())
 
-    def report(self, count: int, now_ms: float) -> None:
-        """Tell the dispatcher of tokens, not each time."""
+    def report_tokens(self, count: int, now_ms: float) -> None:
+        """Report delivered tokens to the dispatcher in batches."""
         if self.profile is None:
             return
-        tell = self.context.dispatch.tell
+        notify = self.context.dispatch.notify
         request = self.profile.request
         gaps = self.machine.progress.gaps_ms
         if not gaps and self.machine.progress.next_index == 1:
-            tell(policy.FirstTokenReceived(request))
+            notify(policy.FirstTokenReceived(request))
         elif gaps and gaps[-1] > LATE_GAP_MS:
-            tell(policy.GapObserved(request, gaps[-1]))
+            notify(policy.GapObserved(request, gaps[-1]))
         self.unreported += count
-        if self.unreported >= REPORT_TOKENS:
-            tell(policy.TokensProduced(request, self.unreported))
+        if self.unreported >= REPORT_BATCH_TOKENS:
+            notify(policy.TokensProduced(request, self.unreported))
             self.unreported = 0
 
     def _finish(self) -> None:
         if self.machine.stage is not generations.Stage.ENDED:
-            for action in self._tell(messages.CallerGone()):
+            for action in self._handle(messages.CallerGone()):
                 if not isinstance(action, messages.EndRequest):
-                    self._carry_out(action)
+                    self._perform(action)
         self._close()
         self._release()
-        held = None
+        request = None
         if self.profile is not None:
-            held = self._end_dispatch()
-        if self.cancelled is not None:
-            self.part.cancel(self.cancelled, held)
+            request = self._end_dispatch()
+        if self.cancel_action is not None:
+            self.part.cancel(self.cancel_action, request)
         self.context.node.hub.publish(
-            facts.generation_facts(
+            records.generation_record(
                 self.machine,
                 self.service,
                 self.context.account.client_account,
@@ -377,12 +379,13 @@
 
     def _end_dispatch(self) -> ids.RequestId | None:
         request = self.profile.request
-        tell = self.context.dispatch.tell
+        notify = self.context.dispatch.notify
         if self.unreported:
-            tell(policy.TokensProduced(request, self.unreported))
-        if self.cancelled is not None:
-            # The engine's memory is in use until it confirms.
+            notify(policy.TokensProduced(request, self.unreported))
+        if self.cancel_action is not None:
+            # The engine's memory is in use until it confirms the
+            # cancellation.
             return request
         done = self.machine.outcome.outcome is states.Outcome.DONE
-        tell(policy.RequestEnded(request, done))
+        notify(policy.RequestEnded(request, done))
         return None
--- a/eelgrassknot/platform/desired_state.py
+++ b/eelgrassknot/platform/desired_state.py
@@ -1,4 +1,4 @@
-"""Decodes the operators' desired state into the deployment's state."""
+"""Decoder of the operators' desired state."""
 
 import msgspec
 import result
@@ -14,7 +14,7 @@
 
 
 class _Struct(msgspec.Struct, rename='camel'):
-    """Fields that are not named here are ignored."""
+    """Base class; unknown fields are ignored."""
 
 
 class _Split(_Struct):
@@ -28,8 +28,8 @@
     prefix: str
     kind: str
     timeout_ms: float
-    # Time for the full worth of an answer; the last one that the platform
-    # calls a service level objective.
+    # Latency objective of a response. It is the only one of the objectives
+    # that the platform calls a service level objective.
     slo_ms: float = 0.0
     priority: int = 0
     service: str | None = None
@@ -47,9 +47,9 @@
     link_mbps: float = 0.0
     moves: bool = False
     backups: bool = False
-    # Tokens in one event of a stream.
+    # Number of tokens in one event of a stream.
     stride: int = 1
-    # Seconds, unlike its neighbours.
+    # In seconds, unlike the other durations.
     handle_s: float = 0.0
 
 
@@ -87,29 +87,29 @@
     """Decode a desired state.
 
     Args:
-        document: The JSON document that the store holds.
+        document: The JSON document from the store.
 
     Returns:
-        The state, or an error that names the JSON path at fault.
+        The state, or an error with the JSON path of the invalid field.
     """
     try:
         found = msgspec.json.decode(document, type=_DesiredState)
-        return result.Ok(_translate(found))
+        return result.Ok(_convert_state(found))
     except (msgspec.MsgspecError, ValueError) as error:
         return result.Err(
             exceptions.MalformedAnswerError(
-                f'the desired state cannot be read: {error}',
-                'correct the field that the message names and write again',
+                f'the desired state cannot be decoded: {error}',
+                'correct the field named in the message and write it again',
             )
         )
 
 
-def _translate(found: _DesiredState) -> model.DeploymentState:
+def _convert_state(found: _DesiredState) -> model.DeploymentState:
     return model.DeploymentState(
         version=ids.ConfigVersion(found.version),
-        routes=tuple(_route(route) for route in found.routes),
+        routes=tuple(_convert_route(route) for route in found.routes),
         services={
-            ids.ServiceName(service.name): _service(service)
+            ids.ServiceName(service.name): _convert_service(service)
             for service in found.services
         },
         accounts=tuple(
@@ -130,13 +130,13 @@
     )
 
 
-def _route(found: _Route) -> model.Route:
+def _convert_route(found: _Route) -> model.Route:
     shares = tuple(
-        model.Share(ids.ServiceName(part.service), part.weight)
+        model.WeightedService(ids.ServiceName(part.service), part.weight)
         for part in found.split
     )
     if not shares and found.service is not None:
-        shares = (model.Share(ids.ServiceName(found.service), 1.0),)
+        shares = (model.WeightedService(ids.ServiceName(found.service), 1.0),)
     return model.Route(
         name=found.name,
         host=found.host.lower(),
@@ -153,7 +153,7 @@
     )
 
 
-def _service(found: _Service) -> model.Service:
+def _convert_service(found: _Service) -> model.Service:
     engine = None
     if found.engine is not None:
         engine = model.EngineProfile(
@@ -163,7 +163,7 @@
             link_mbps=found.engine.link_mbps,
             can_move=found.engine.moves,
             can_copy=found.engine.backups,
-            handle_ms=found.engine.handle_s * 1_000.0,
+            handle_ttl_ms=found.engine.handle_s * 1_000.0,
             event_tokens=max(1, found.engine.stride),
         )
     return model.Service(
--- a/eelgrassknot/requests/forwarded_stream.py
+++ b/eelgrassknot/requests/forwarded_stream.py
@@ -1,10 +1,10 @@
-"""Life of one forwarded stream, which may outlive its upstream.
+"""State machine of a forwarded stream that can change its upstream.
 
-A stream that may not be resumed goes on at another engine only from the
-memory of its own run: from a copy that grew while it ran, or from one
-that its engine made on request. What a copy lacks is read from the
-stream's own events, so an old one will do. A resumable stream may also be
-run anew after its last event.
+A stream that is not resumable can continue on another engine only from a
+copy of its run's memory: a copy maintained while the run progressed, or
+one made by its engine on request. The part that a copy lacks is rebuilt
+from the stream's own events, so an outdated copy can be used. A resumable
+stream can also be run again after its last event.
 
 References:
     Sun et al., "Llumnix: Dynamic Scheduling for Large Language Model
@@ -24,29 +24,33 @@
 __all__ = ['ForwardedStream']
 
 COPY_GROWTH_MS = 350.0
-"""A copy is taken for usable so long after the first event; ms. Engines
-send copies several times a second."""
+"""Time after the first event at which a maintained copy is considered
+usable; ms. Engines update copies several times a second."""
 COPY_REFRESH_MS = 3_000.0
-"""A copy made on request is brought up to date so often; ms. Engines drop
-an unused one after 5 s."""
+"""Interval between updates of a copy made on request; ms. Engines drop an
+unused copy after 5 s."""
 COPY_AGE_MS = 250.0
-"""A copy made on request is brought up to date before a planned change if
-it is older than this; ms. What it lacks is read and delays the stream."""
-COPY_TRIES = 3
-"""How often a growing copy is tried that was not there yet."""
+"""Age above which a copy made on request is updated before a planned
+change of engine; ms. Processing the missing part delays the stream."""
+MAX_COPY_TRIES = 3
+"""Maximum number of attempts to continue from a maintained copy that does
+not exist on its holder yet."""
 LEAVE_SPREAD_MS = 1_100.0
-"""Runs with a copy leave an engine within this time of its notice; ms.
-Engines give 1.5 s; all at once would delay each other, and some end before
-they have to leave. Runs without a copy need all the time there is."""
-SILENCE_MS = 700.0
-"""Events that stay away for so long are taken for a lost upstream, if
-there is a copy to go on from; ms."""
+"""Period after an engine's leave notice over which runs with a copy are
+moved; ms. Engines give 1.5 s notice. Moving all runs at once would make
+them delay each other, and some runs finish before they have to move. Runs
+without a copy are moved immediately because they need the whole period."""
+SILENCE_TIMEOUT_MS = 700.0
+"""Time without events after which the upstream is considered lost if
+there is a copy to continue from; ms."""
 SWITCH_RETRY_MS = 150.0
-"""Pause before another try to leave an upstream; ms."""
+"""Delay before retrying to move away from an upstream; ms."""
 FIRST_EVENT_CHECK_MS = 50.0
-"""How often a run that has to leave looks for its first event; ms."""
+"""Interval at which a run that has to move checks for its first event;
+ms."""
 MAX_PLACEMENTS = 6
-"""Upstreams that are asked for one stream, those that refused included."""
+"""Maximum number of upstreams tried for one stream, including those that
+refused it."""
 NEVER_MS = float('inf')
 
 
@@ -57,22 +61,22 @@
 
 
 class ForwardedStream:
-    """Decides how one stream goes on.
+    """Decides on retries, takeovers and the outcome of one stream.
 
     Args:
         request: Identifier of the request.
-        rules: What may be done with the stream.
-        deadline_ms: Time by which it has to end.
-        generator: Source of random delays.
-        last_event: Last event that the caller had before, or None.
+        rules: Recovery options of the stream.
+        deadline_ms: Time by which the stream must end.
+        generator: Random number generator for delays.
+        last_event: Last event that the caller already has, or None.
 
     Attributes:
-        run: The attempt whose events are forwarded.
-        successor: The attempt that is to take over from it.
-        last_event: Last event that was forwarded, or None.
-        answered: Whether the head of an answer was forwarded.
-        may_have_run: Whether a byte of any attempt may have left.
-        takeovers: How often another upstream went on with the stream.
+        run: Attempt whose events are forwarded.
+        successor: Attempt that is to take over from ``run``.
+        last_event: Last forwarded event, or None.
+        answer_started: Whether the head of an answer was forwarded.
+        may_have_run: Whether a byte of any attempt may have been sent.
+        takeovers: Number of times that another upstream took over.
     """
 
     def __init__(
@@ -94,10 +98,10 @@
         self.leaving: set[str] = set()
         self.failed: set[str] = set()
         self.attempt = 0
-        self.runs_begun = 0
-        self.answered = False
+        self.runs_started = 0
+        self.answer_started = False
         self.may_have_run = False
-        self.moving = False
+        self.copying = False
         self.must_leave = False
         self.switch_at_ms = NEVER_MS
         self.copy_at_ms = NEVER_MS
@@ -108,57 +112,59 @@
     def handle(
         self, event: messages.Event, now_ms: float
     ) -> list[messages.Action]:
-        """Take in one event and return what is to be done.
+        """Handle an event and return the actions to perform.
 
         Args:
-            event: What happened.
-            now_ms: The present time.
+            event: Event to handle.
+            now_ms: Current time.
         """
         if self.stage is _Stage.ENDED:
             return []
         match event:
             case messages.Placed(upstream):
-                return self._send_anew(upstream, now_ms)
+                return self._start_run(upstream, now_ms)
             case messages.CopyPlaced(attempt, upstream):
                 self._copy_placed(attempt, upstream)
                 return []
             case messages.Refused(reason, retry_after_ms):
                 return self._give_up(reason.value, retry_after_ms)
-            case messages.Headed(attempt, accepted):
-                return self._headed(attempt, accepted, now_ms)
-            case messages.Received(attempt, index, data):
-                return self._received(attempt, index, data, now_ms)
-            case messages.Ended(attempt):
-                return self._ended(attempt)
-            case messages.Broken(attempt, bytes_left):
-                return self._broken(attempt, bytes_left, now_ms)
+            case messages.HeadReceived(attempt, accepted):
+                return self._head_received(attempt, accepted, now_ms)
+            case messages.EventReceived(attempt, index, data):
+                return self._event_received(attempt, index, data, now_ms)
+            case messages.AnswerCompleted(attempt):
+                return self._answer_completed(attempt)
+            case messages.AttemptBroken(attempt, may_have_sent):
+                return self._attempt_broken(attempt, may_have_sent, now_ms)
             case messages.NotRun(attempt):
                 return self._not_run(attempt, now_ms)
             case messages.UpstreamLeaving(upstream):
                 return self._upstream_leaving(upstream, now_ms)
-            case messages.MoveEnded():
-                return self._move_ended(event, now_ms)
+            case messages.CopyEnded():
+                return self._copy_ended(event, now_ms)
             case messages.Tick():
                 return self._tick(now_ms)
         return []
 
     def wake_ms(self) -> float:
-        """Return the time at which a tick is needed next."""
+        """Return the time at which the next tick is due."""
         wake_ms = self.deadline_ms
-        if self._is_settled():
+        if self._has_single_run():
             wake_ms = min(wake_ms, self.switch_at_ms, self.copy_at_ms)
             if self._can_use_copy():
-                wake_ms = min(wake_ms, self.run.heard_ms + SILENCE_MS)
+                wake_ms = min(
+                    wake_ms, self.run.last_activity_ms + SILENCE_TIMEOUT_MS
+                )
         return wake_ms
 
     # Sending
 
-    def _send_anew(
+    def _start_run(
         self, upstream: kernel_events.UpstreamInfo, now_ms: float
     ) -> list[messages.Action]:
         self.stage = _Stage.RUNNING
         self.run = self._next_run(upstream, now_ms)
-        self.runs_begun += 1
+        self.runs_started += 1
         wants_copy = self.rules.can_copy and not self.rules.resumable
         return [
             messages.Send(
@@ -193,11 +199,11 @@
         self, upstream: kernel_events.UpstreamInfo, now_ms: float
     ) -> stream_run.Run:
         self.attempt += 1
-        return stream_run.Run(self.attempt, upstream, heard_ms=now_ms)
+        return stream_run.Run(self.attempt, upstream, last_activity_ms=now_ms)
 
     def _continue_at_copy(self, now_ms: float) -> list[messages.Action]:
         copy = self.run.copy
-        # A copy can be used once, unless it is refused.
+        # A copy can be used only once, unless the holder refuses it.
         self.run.copy = None
         self.tried_copy = copy
         return self._send_successor(copy.holder, copy.name, now_ms)
@@ -205,7 +211,7 @@
     def _copy_placed(
         self, attempt: int, holder: kernel_events.UpstreamInfo | None
     ) -> None:
-        run = self._find(attempt)
+        run = self._find_run(attempt)
         if run is None or holder is None:
             return
         name = f'{holder.address}/{self.request}'
@@ -213,11 +219,11 @@
 
     # Answers
 
-    def _headed(
+    def _head_received(
         self, attempt: int, accepted: bool, now_ms: float
     ) -> list[messages.Action]:
         self.may_have_run = True
-        run = self._find(attempt)
+        run = self._find_run(attempt)
         if run is None:
             return []
         if not accepted:
@@ -227,25 +233,25 @@
                     messages.Cancel(attempt),
                     *self._after_lost_successor(now_ms),
                 ]
-            if self.answered:
+            if self.answer_started:
                 cancel = messages.Cancel(attempt)
-                return [cancel, *self._end_broken('not_resumed')]
+                return [cancel, *self._abort_answer('not_resumed')]
             self.stage = _Stage.ENDED
             return [messages.StartAnswer(attempt)]
-        run.headed = True
-        run.heard_ms = now_ms
+        run.head_received = True
+        run.last_activity_ms = now_ms
         actions: list[messages.Action] = []
         if run is self.successor:
             actions += self._take_over()
-        if not self.answered:
-            self.answered = True
+        if not self.answer_started:
+            self.answer_started = True
             actions.append(messages.StartAnswer(attempt))
         return actions
 
     def _take_over(self) -> list[messages.Action]:
         old, self.run = self.run, self.successor
         self.successor = None
-        self.moving = False
+        self.copying = False
         self.must_leave = self.run.upstream.upstream in self.leaving
         self.switch_at_ms = NEVER_MS
         self.copy_at_ms = NEVER_MS
@@ -253,12 +259,12 @@
         self.takeovers += 1
         return [messages.Cancel(old.attempt)]
 
-    def _received(
+    def _event_received(
         self, attempt: int, index: int | None, data: bytes, now_ms: float
     ) -> list[messages.Action]:
         if self.run is None or attempt != self.run.attempt:
             return []
-        self.run.heard_ms = now_ms
+        self.run.last_activity_ms = now_ms
         if self.run.first_event_ms is None:
             self._take_first_event(now_ms)
         if index is not None and self.last_event is not None:
@@ -266,7 +272,7 @@
                 return []
             if index != self.last_event + 1:
                 cancel = messages.Cancel(attempt)
-                return [cancel, *self._end_broken('event_missing')]
+                return [cancel, *self._abort_answer('event_missing')]
         if index is not None:
             self.last_event = index
         return [messages.Forward(data)]
@@ -279,7 +285,7 @@
                 run.copy, usable_ms=now_ms + COPY_GROWTH_MS
             )
 
-    def _ended(self, attempt: int) -> list[messages.Action]:
+    def _answer_completed(self, attempt: int) -> list[messages.Action]:
         if self.run is None or attempt != self.run.attempt:
             return []
         self.stage = _Stage.ENDED
@@ -288,13 +294,13 @@
             actions.append(messages.Cancel(self.successor.attempt))
         return actions
 
-    # Losses
+    # Failures
 
-    def _broken(
-        self, attempt: int, bytes_left: bool, now_ms: float
+    def _attempt_broken(
+        self, attempt: int, may_have_sent: bool, now_ms: float
     ) -> list[messages.Action]:
-        self.may_have_run = self.may_have_run or bytes_left
-        run = self._find(attempt)
+        self.may_have_run = self.may_have_run or may_have_sent
+        run = self._find_run(attempt)
         if run is None:
             return []
         self.failed.add(run.upstream.upstream)
@@ -302,23 +308,26 @@
             self.successor = None
             return self._after_lost_successor(now_ms)
         if self.successor is not None:
-            # The successor goes on from here, whatever became of this.
+            # The successor continues from the last forwarded event.
             return []
-        if not bytes_left:
-            self.runs_begun -= 1
+        if not may_have_sent:
+            self.runs_started -= 1
             return self._place_again()
         return self._after_lost_run(now_ms)
 
     def _after_lost_run(self, now_ms: float) -> list[messages.Action]:
         if self.run.copy is not None:
             return self._continue_at_copy(now_ms)
-        if self.moving:
-            # The copy that is being made may still arrive.
+        if self.copying:
+            # The copy in progress may still complete.
             return []
-        return self._run_anew()
+        return self._restart()
 
-    def _run_anew(self) -> list[messages.Action]:
-        if self.rules.resumable and self.runs_begun < self.rules.max_attempts:
+    def _restart(self) -> list[messages.Action]:
+        if (
+            self.rules.resumable
+            and self.runs_started < self.rules.max_attempts
+        ):
             return self._place_again()
         return self._give_up('upstream_lost', None)
 
@@ -330,7 +339,7 @@
         return self._tick(now_ms)
 
     def _not_run(self, attempt: int, now_ms: float) -> list[messages.Action]:
-        run = self._find(attempt)
+        run = self._find_run(attempt)
         if run is None:
             return []
         if run is self.successor:
@@ -338,13 +347,13 @@
             self._keep_refused_copy(now_ms)
             return self._after_lost_successor(now_ms)
         self.failed.add(run.upstream.upstream)
-        self.runs_begun -= 1
+        self.runs_started -= 1
         return self._place_again()
 
     def _keep_refused_copy(self, now_ms: float) -> None:
-        """Keep a copy that was refused: it may not have been there yet."""
+        """Keep a refused copy, which may not have existed yet."""
         copy = self.tried_copy
-        if copy is None or not copy.grows or copy.tries + 1 >= COPY_TRIES:
+        if copy is None or not copy.grows or copy.tries + 1 >= MAX_COPY_TRIES:
             return
         if copy.holder.upstream not in self.leaving:
             self.run.copy = dataclasses.replace(
@@ -360,7 +369,7 @@
         self.run = None
         return [messages.Place(frozenset(self.failed))]
 
-    # Leaving an upstream
+    # Moving away from an upstream
 
     def _upstream_leaving(
         self, upstream: str, now_ms: float
@@ -383,16 +392,16 @@
     def _tick(self, now_ms: float) -> list[messages.Action]:
         if now_ms >= self.deadline_ms:
             return self._give_up('deadline', None)
-        if not self._is_settled():
+        if not self._has_single_run():
             return []
         if now_ms >= self.switch_at_ms:
             return self._leave_upstream(now_ms)
         if now_ms >= self.copy_at_ms:
             self.copy_at_ms = NEVER_MS
             return self._make_copy()
-        silent = now_ms >= self.run.heard_ms + SILENCE_MS
+        silent = now_ms >= self.run.last_activity_ms + SILENCE_TIMEOUT_MS
         if silent and self._can_use_copy():
-            self.run.heard_ms = now_ms
+            self.run.last_activity_ms = now_ms
             return self._continue_at_copy(now_ms)
         return []
 
@@ -414,24 +423,24 @@
         return not copy.grows and now_ms > copy.usable_ms + COPY_AGE_MS
 
     def _make_copy(self) -> list[messages.Action]:
-        """Have the engine copy the run's memory, or bring a copy up."""
+        """Have the engine copy the run's memory, or update its copy."""
         run = self.run
         if run.first_event_ms is None or not self._may_copy():
             return []
         if run.copy is not None and run.copy.grows:
             return []
-        self.moving = True
+        self.copying = True
         if run.copy is not None:
-            return [messages.Move(run.upstream, run.copy.holder)]
+            return [messages.CopyMemory(run.upstream, run.copy.holder)]
         refused = frozenset(self.refused_copies | self.leaving)
-        return [messages.PlaceMove(run.upstream, refused, not self.must_leave)]
+        return [messages.PlaceCopy(run.upstream, refused, not self.must_leave)]
 
-    def _move_ended(
-        self, event: messages.MoveEnded, now_ms: float
+    def _copy_ended(
+        self, event: messages.CopyEnded, now_ms: float
     ) -> list[messages.Action]:
-        if not self.moving or self.run is None:
+        if not self.copying or self.run is None:
             return []
-        self.moving = False
+        self.copying = False
         run = self.run
         if event.handle is not None:
             name = f'{run.upstream.address}/{event.handle}'
@@ -440,12 +449,12 @@
             )
             self.copy_at_ms = now_ms + COPY_REFRESH_MS
         elif self.must_leave and run.copy is not None:
-            # It was not brought up to date, but will do.
+            # The update failed, but the outdated copy can be used.
             run.copy = dataclasses.replace(run.copy, usable_ms=now_ms)
         else:
             run.copy = None
             if event.target is None:
-                # Room may come where there was none before.
+                # Upstreams that had no room may have some later.
                 self.refused_copies.clear()
             else:
                 self.refused_copies.add(event.target.upstream)
@@ -459,7 +468,7 @@
     def _may_copy(self) -> bool:
         return self.rules.can_move and not self.rules.resumable
 
-    # Ends
+    # Outcomes
 
     def _give_up(
         self, reason: str, retry_after_ms: float | None
@@ -469,22 +478,24 @@
             for run in (self.run, self.successor)
             if run is not None
         ]
-        if self.answered:
-            return [*cancels, *self._end_broken(reason)]
+        if self.answer_started:
+            return [*cancels, *self._abort_answer(reason)]
         self.stage = _Stage.ENDED
         outcome = states.Outcome.NOT_RUN
         if self.may_have_run or cancels:
             outcome = states.Outcome.UNKNOWN
         return [*cancels, messages.Fail(outcome, reason, retry_after_ms)]
 
-    def _end_broken(self, reason: str) -> list[messages.Action]:
+    def _abort_answer(self, reason: str) -> list[messages.Action]:
         self.stage = _Stage.ENDED
-        return [messages.BreakOff(reason)]
+        return [messages.AbortAnswer(reason)]
 
-    def _is_settled(self) -> bool:
-        """Return whether one attempt runs and no other is on its way."""
+    def _has_single_run(self) -> bool:
+        """Return whether a run is active and no change is in progress."""
         return (
-            self.run is not None and self.successor is None and not self.moving
+            self.run is not None
+            and self.successor is None
+            and not self.copying
         )
 
     def _can_use_copy(self) -> bool:
@@ -493,10 +504,10 @@
             run is not None
             and run.copy is not None
             and run.first_event_ms is not None
-            and run.heard_ms >= run.first_event_ms
+            and run.last_activity_ms >= run.first_event_ms
         )
 
-    def _find(self, attempt: int) -> stream_run.Run | None:
+    def _find_run(self, attempt: int) -> stream_run.Run | None:
         for run in (self.run, self.successor):
             if run is not None and run.attempt == attempt:
                 return run
--- a/standins/shapes.py
+++ b/standins/shapes.py
@@ -1,10 +1,10 @@
-"""What the clusters of tests, rounds and the demo consist of."""
+"""Composition of the clusters in tests, rounds and the demo."""
 
 import dataclasses
 
 from eelgrassknot.settings import examples
 
-__all__ = ['DAEMON_MODULE', 'Shape', 'shape_of', 'smaller']
+__all__ = ['ClusterShape', 'DAEMON_MODULE', 'minimal', 'shape_of']
 
 DAEMON_MODULE = 'eelgrassknot.daemon'
 LINK_BITS_PER_SECOND = 15_000_000.0
@@ -12,8 +12,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Shape:
-    """What a cluster consists of.
+class ClusterShape:
+    """Composition of a cluster.
 
     Attributes:
         entry_vms: Number of daemons by availability zone.
@@ -22,10 +22,10 @@
         zone_delay_ms: One-way delay between zones of a region.
         region_delay_ms: One-way delay between regions.
         link_bits_per_second: Rate of the link between regions.
-        kv_tokens: Memory of each engine.
-        step_ms: Time of an engine's decode step.
-        daemon_module: Module that is run as the daemon; tests name a
-            broken variant here.
+        kv_tokens: KV memory of each engine, in tokens.
+        step_ms: Duration of an engine's decode step.
+        daemon_module: Module that is run as the daemon; tests use it to
+            run a defective variant.
     """
 
     deployment: examples.Deployment
@@ -38,11 +38,13 @@
     kv_tokens: int = 6_000
     step_ms: float = 15.0
     daemon_module: str = DAEMON_MODULE
-    text_changes: dict[str, object] = dataclasses.field(default_factory=dict)
+    services_text_changes: dict[str, object] = dataclasses.field(
+        default_factory=dict
+    )
 
 
-def shape_of(name: str, daemon_module: str = DAEMON_MODULE) -> Shape:
-    """Return the shape of a deployment at the brief's sizes.
+def shape_of(name: str, daemon_module: str = DAEMON_MODULE) -> ClusterShape:
+    """Return the shape of a deployment at its specified size.
 
     Args:
         name: Name of an example deployment.
@@ -52,7 +54,7 @@
     zones = [group.availability_zone for group in deployment.entry_vms]
     engine_counts = (2, 2, 1) if name == 'nadroga' else (2, 2, 2)
     delays = {'nadroga': 1.5, 'lagotermica': 0.5}
-    return Shape(
+    return ClusterShape(
         deployment,
         {g.availability_zone: g.count for g in deployment.entry_vms},
         dict(zip(zones, engine_counts, strict=True)),
@@ -62,7 +64,7 @@
     )
 
 
-def smaller(shape: Shape) -> Shape:
+def minimal(shape: ClusterShape) -> ClusterShape:
     """Return a shape with one VM of each kind in each zone."""
     one = dict.fromkeys(shape.entry_vms, 1)
     return dataclasses.replace(shape, entry_vms=one, engines=one, plains=one)
--- a/standins/users_upstream.py
+++ b/standins/users_upstream.py
@@ -1,4 +1,4 @@
-"""Servers of the users' platform's stand-in: plain ones and engines."""
+"""Plain servers and engines of the users' platform's stand-in."""
 
 import json
 import threading
@@ -13,7 +13,7 @@
 
 
 class UpstreamHandler(users_http.Handler):
-    """A plain server and an engine."""
+    """HTTP handler of a plain server or an engine."""
 
     def setup(self) -> None:
         super().setup()
@@ -42,7 +42,7 @@
         elif upstream.service == 'writer':
             self.stream(request)
         else:
-            upstream.platform.note_run(request, upstream.name)
+            upstream.platform.record_run(request, upstream.name)
             self.call(request, fault, body)
 
     def call(self, request: str, fault: str, body: bytes) -> None:
@@ -70,7 +70,7 @@
         else:
             self.answer(200, headers, whole)
             if fault == 'extra':
-                # Comes when the next answer is expected.
+                # Arrives while the next answer is expected.
                 threading.Timer(
                     0.05, self.answer, (200, headers, whole)
                 ).start()
@@ -85,7 +85,7 @@
                 self.answer(503, {'Not-Executed': '1'}, b'')
                 return
         else:
-            upstream.platform.note_run(request, upstream.name)
+            upstream.platform.record_run(request, upstream.name)
         copy_to = self.headers['Kv-Backup']
         if copy_to is not None:
             key = (copy_to, f'{copy_to}/{request}')
--- a/standins/verdict.py
+++ b/standins/verdict.py
@@ -1,4 +1,4 @@
-"""What came of a round, in one line."""
+"""Result of a round."""
 
 import collections
 import dataclasses
@@ -7,12 +7,12 @@
 from standins import checkers
 from standins import degradation
 
-__all__ = ['Verdict']
+__all__ = ['RoundResult']
 
 
 @dataclasses.dataclass(frozen=True)
-class Verdict:
-    """What came of a round."""
+class RoundResult:
+    """Result of a round; ``str`` gives a one-line summary."""
 
     seed: int
     deployment: str
@@ -22,7 +22,7 @@
     violations: tuple[checkers.Violation, ...]
     seconds: float
     trace: pathlib.Path
-    served: tuple[degradation.Served, ...]
+    served: tuple[degradation.OutcomeSummary, ...]
 
     def __str__(self) -> str:
         word = 'violated' if self.violations else 'held'
--- a/tests/generation_world.py
+++ b/tests/generation_simulation.py
@@ -1,8 +1,7 @@
-"""Engines, links and a dispatcher around one generation request.
+"""Simulates engines, connections and a dispatcher for one request.
 
-Hypothesis chooses in which order things happen to them. The tokens that
-each engine produced and those that the caller got are compared after
-every step.
+Hypothesis chooses the sequence of events. The tokens produced by each
+engine are compared with those delivered to the caller after every step.
 """
 
 import dataclasses
@@ -37,7 +36,7 @@
 
 
 @dataclasses.dataclass
-class _Running:
+class _EngineGeneration:
     """A generation at an engine."""
 
     name: str
@@ -54,8 +53,8 @@
 
 
 @dataclasses.dataclass
-class _Link:
-    """A connection, as the engine's side sees it."""
+class _Connection:
+    """A connection as seen by the engine."""
 
     number: int
     generation: str
@@ -74,11 +73,11 @@
         super().__init__()
         self.now_ms = 0.0
         self.running = {}
-        self.links = {}
+        self.connections = {}
         self.probes = []
         self.cancels = []
         self.placements = 0
-        self.names = 0
+        self.generation_count = 0
         self.delivered = []
         self.ended = None
         self.ran = False
@@ -91,7 +90,7 @@
         lead=strategies.integers(0, 3),
     )
     def arrive(self, streamed, hurried, lead):
-        """Begin a request, which often has its first tokens soon."""
+        """Start a request, often with its first tokens delivered."""
         deadline_ms = 5_000.0 if hurried else None
         self.streamed = streamed
         self.machine = self.machine_class(REQUEST, streamed, deadline_ms, 0.0)
@@ -103,13 +102,13 @@
         self.produce(kind=0, count=3)
         self.receive(kind=1, count=lead)
 
-    def tell(self, event):
-        """Tell the machine and do what it wants."""
+    def handle(self, event):
+        """Pass an event to the state machine and perform its actions."""
         for action in self.machine.handle(event, self.now_ms):
-            self.carry_out(action)
+            self.perform(action)
 
-    def carry_out(self, action):
-        """Do one action in this world."""
+    def perform(self, action):
+        """Perform one action in the simulation."""
         assert self.ended is None, f'{action} after the end'
         match action:
             case messages.DeliverToken(token):
@@ -118,11 +117,11 @@
                 assert not self.streamed, 'delivered tokens were taken back'
                 self.delivered.clear()
             case messages.OpenStream(number, _, generation):
-                assert number not in self.links
-                self.links[number] = _Link(number, generation, 0)
+                assert number not in self.connections
+                self.connections[number] = _Connection(number, generation, 0)
             case messages.ResumeStream(number, _, generation, index):
-                assert number not in self.links
-                self.links[number] = _Link(
+                assert number not in self.connections
+                self.connections[number] = _Connection(
                     number, generation, index, creates=False
                 )
             case messages.AskStatus(probe, _, generation):
@@ -134,14 +133,14 @@
             case messages.EndRequest():
                 self.ended = action
 
-    def link(self, kind):
-        """Return one of the connections, old ones included."""
-        numbers = sorted(self.links)
+    def connection(self, kind):
+        """Return one of the connections, including closed ones."""
+        numbers = sorted(self.connections)
         if not numbers:
             return None
-        # The newest is of most interest.
+        # Prefer the newest connection.
         back = 0 if kind % 4 else kind // 4 % len(numbers)
-        return self.links[numbers[-1 - back]]
+        return self.connections[numbers[-1 - back]]
 
     @stateful.precondition(lambda self: self.placements)
     @stateful.rule(refused=strategies.integers(0, 9))
@@ -150,50 +149,56 @@
         self.placements -= 1
         if not refused:
             reason = states.RefusalReason.NO_UPSTREAM
-            self.tell(messages.Refused(reason, 1_000.0))
+            self.handle(messages.Refused(reason, 1_000.0))
             return
-        self.names += 1
-        name = f'g{self.names}'
-        engine = upstream(f'e{self.names}')
-        self.tell(messages.Placed(engine, ids.GenerationId(name), False))
+        self.generation_count += 1
+        name = f'g{self.generation_count}'
+        engine = upstream(f'e{self.generation_count}')
+        self.handle(messages.Placed(engine, ids.GenerationId(name), False))
 
-    @stateful.precondition(lambda self: self.links)
+    @stateful.precondition(lambda self: self.connections)
     @stateful.rule(kind=_KINDS, length=strategies.integers(1, 5))
     def engine_hears(self, kind, length):
         """A request reaches its engine."""
-        link = self.link(kind)
-        if link.started:
+        connection = self.connection(kind)
+        if connection.started:
             return
-        link.started = True
-        if link.creates and link.generation not in self.running:
+        connection.started = True
+        if connection.creates and connection.generation not in self.running:
             self.ran = True
-            self.running[link.generation] = _Running(link.generation, length)
-        if link.generation not in self.running:
-            self.tell(messages.StreamRejected(link.number, 404, b''))
+            self.running[connection.generation] = _EngineGeneration(
+                connection.generation, length
+            )
+        if connection.generation not in self.running:
+            self.handle(messages.StreamRejected(connection.number, 404, b''))
             return
-        self.tell(messages.StreamAccepted(link.number))
+        self.handle(messages.StreamAccepted(connection.number))
 
-    @stateful.precondition(lambda self: self.links)
+    @stateful.precondition(lambda self: self.connections)
     @stateful.rule(kind=_KINDS, status=strategies.sampled_from([503, 500]))
     def engine_refuses(self, kind, status):
-        """An engine answers that it did not take the request."""
-        link = self.link(kind)
-        if link.started:
+        """An engine rejects the request."""
+        connection = self.connection(kind)
+        if connection.started:
             return
-        link.started = True
-        link.closed = True
+        connection.started = True
+        connection.closed = True
         self.ran = self.ran or status == 500
-        self.tell(messages.StreamRejected(link.number, status, b''))
+        self.handle(messages.StreamRejected(connection.number, status, b''))
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(kind=_KINDS, count=strategies.integers(1, 3))
     def produce(self, kind, count):
         """An engine produces tokens."""
-        one = self.running[sorted(self.running)[kind % len(self.running)]]
-        if one.state is states.GenerationState.RUNNING:
-            one.produced = min(one.produced + count, one.length)
-            if one.produced == one.length:
-                one.state = states.GenerationState.DONE
+        generation = self.running[
+            sorted(self.running)[kind % len(self.running)]
+        ]
+        if generation.state is states.GenerationState.RUNNING:
+            generation.produced = min(
+                generation.produced + count, generation.length
+            )
+            if generation.produced == generation.length:
+                generation.state = states.GenerationState.DONE
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(
@@ -201,15 +206,17 @@
         state=strategies.sampled_from(['preempted', 'running', 'cancelled']),
     )
     def change_state(self, kind, state):
-        """An engine preempts, goes on, or gives up."""
-        one = self.running[sorted(self.running)[kind % len(self.running)]]
-        if one.state is not states.GenerationState.DONE:
-            one.state = states.GenerationState(state)
+        """An engine preempts, resumes or cancels a generation."""
+        generation = self.running[
+            sorted(self.running)[kind % len(self.running)]
+        ]
+        if generation.state is not states.GenerationState.DONE:
+            generation.state = states.GenerationState(state)
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(kind=_KINDS, count=strategies.integers(1, 3))
     def receive(self, kind, count):
-        """The next tokens come by a connection."""
+        """The next tokens are received on a connection."""
         for _ in range(count):
             self.receive_one(kind, 'none')
 
@@ -221,91 +228,98 @@
         ),
     )
     def receive_wrong(self, kind, fault):
-        """A wrong token comes by a connection."""
+        """A wrong token is received on a connection."""
         self.receive_one(kind, fault)
 
     def receive_one(self, kind, fault):
-        """Pass on one token of a connection."""
-        link = self.link(kind)
-        one = self.running.get(link.generation)
-        if one is None or not link.started:
+        """Deliver one token of a connection."""
+        connection = self.connection(kind)
+        generation = self.running.get(connection.generation)
+        if generation is None or not connection.started:
             return
-        index = link.index
+        index = connection.index
         if fault == 'repeat' and index:
             index -= 1
         elif fault == 'skip':
             index += 1
-        if index >= one.produced:
+        if index >= generation.produced:
             return
-        token = one.token(index)
+        token = generation.token(index)
         if fault == 'crossed':
-            token = _Running('other', 9).token(index)
+            token = _EngineGeneration('other', 9).token(index)
         elif fault == 'stranger':
             token = upstream_messages.Token(
-                one.name, 'r2', index, f'r2:{index}'
+                generation.name, 'r2', index, f'r2:{index}'
             )
         elif fault == 'none':
-            link.index += 1
-        self.tell(messages.TokenReceived(link.number, token))
+            connection.index += 1
+        self.handle(messages.TokenReceived(connection.number, token))
 
-    @stateful.precondition(lambda self: self.links)
+    @stateful.precondition(lambda self: self.connections)
     @stateful.rule(kind=_KINDS, finished=strategies.booleans())
     def close(self, kind, finished):
-        """A connection ends."""
-        link = self.link(kind)
-        if link.closed:
+        """A connection is closed."""
+        connection = self.connection(kind)
+        if connection.closed:
             return
-        link.closed = True
-        if finished and link.started:
-            self.tell(messages.StreamFinished(link.number))
+        connection.closed = True
+        if finished and connection.started:
+            self.handle(messages.StreamFinished(connection.number))
             return
-        # What left may reach the engine later on.
-        sent = link.started or bool(kind % 2)
-        link.started = link.started or not sent
-        self.tell(messages.StreamClosed(link.number, sent))
+        # A request that was sent may reach the engine later.
+        sent = connection.started or bool(kind % 2)
+        connection.started = connection.started or not sent
+        self.handle(messages.StreamClosed(connection.number, sent))
 
     @stateful.precondition(lambda self: self.probes)
     @stateful.rule(lost=strategies.booleans())
     def answer_probe(self, lost):
         """An engine answers a probe, or the answer is lost."""
-        probe, generation = self.probes.pop(0)
-        one = self.running.get(generation)
+        probe, name = self.probes.pop(0)
+        generation = self.running.get(name)
         if lost:
-            self.tell(messages.StatusLost(probe))
-        elif one is None:
-            self.tell(messages.StatusMissing(probe))
+            self.handle(messages.StatusLost(probe))
+        elif generation is None:
+            self.handle(messages.StatusMissing(probe))
         else:
-            self.tell(messages.StatusReceived(probe, one.state, one.produced))
+            self.handle(
+                messages.StatusReceived(
+                    probe, generation.state, generation.produced
+                )
+            )
 
     @stateful.precondition(lambda self: self.cancels)
     @stateful.rule()
     def cancel(self):
         """A cancellation reaches its engine."""
-        one = self.running.get(self.cancels.pop(0))
-        if one is not None and one.state is not states.GenerationState.DONE:
-            one.state = states.GenerationState.CANCELLED
+        generation = self.running.get(self.cancels.pop(0))
+        if (
+            generation is not None
+            and generation.state is not states.GenerationState.DONE
+        ):
+            generation.state = states.GenerationState.CANCELLED
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(kind=_KINDS)
     def engine_dies(self, kind):
-        """An engine restarts and knows nothing any more."""
+        """An engine restarts and loses its generations."""
         del self.running[sorted(self.running)[kind % len(self.running)]]
 
     @stateful.rule(by_ms=strategies.sampled_from([10.0, 400.0, 5_000.0]))
     def pass_time(self, by_ms):
         """Time passes."""
         self.now_ms += by_ms
-        self.tell(messages.Tick())
+        self.handle(messages.Tick())
 
     @stateful.rule(rare=strategies.integers(0, 30))
     def caller_leaves(self, rare):
-        """The caller leaves, seldom."""
+        """The caller occasionally disconnects."""
         if not rare:
-            self.tell(messages.CallerGone())
+            self.handle(messages.CallerGone())
 
     @stateful.invariant()
     def one_generation_in_order(self):
-        """Each token once, in order, all of one generation."""
+        """Each token is delivered once, in order, of one generation."""
         names = {token.generation for token in self.delivered}
         assert len(names) <= 1, names
         assert 'other' not in names, 'a token of another generation'
@@ -317,7 +331,7 @@
 
     @stateful.invariant()
     def outcome_is_true(self):
-        """What the caller is told is so."""
+        """The reported outcome matches what happened."""
         if self.ended is None:
             return
         outcome = self.ended.outcome
@@ -330,7 +344,7 @@
 
     @stateful.invariant()
     def time_adds_up(self):
-        """The parts are the whole."""
+        """The parts of the time sum to the total."""
         if self.machine is not None:
             line = self.machine.progress.timeline
             assert abs(sum(line.parts.values()) - line.total_ms()) < 1e-6
--- a/tests/steps/requests_claim.py
+++ b/tests/steps/requests_claim.py
@@ -1,4 +1,4 @@
-"""Steps on the claims of keyed calls."""
+"""Steps for the claims of keyed calls."""
 
 import behave
 import msgspec
@@ -12,21 +12,21 @@
 from eelgrassknot.requests import plain_messages
 from eelgrassknot import states
 from eelgrassknot.storage import base
-from tests import claim_world
+from tests import claim_simulation
 from tests import histories
 
 
 class _TakesOver(claims.Claim):
     def _owner_answered(self, answer, now_ms):
         if answer is peers.OwnerAnswer.UNREACHABLE:
-            return self._replace(self.found.version, now_ms)
+            return self._replace(self.found_row.version, now_ms)
         return super()._owner_answered(answer, now_ms)
 
 
 class _TrustsAbsence(claims.Claim):
     def _row_read(self, row, event, now_ms):
-        if row is None and self.uncertain:
-            return self._hold(1, now_ms)
+        if row is None and self.write_may_land:
+            return self._claim_acquired(1, now_ms)
         return super()._row_read(row, event, now_ms)
 
 
@@ -40,36 +40,42 @@
 class _ReplacesGone(claims.Claim):
     def _owner_answered(self, answer, now_ms):
         if answer is peers.OwnerAnswer.GONE:
-            return self._replace(self.found.version, now_ms)
+            return self._replace(self.found_row.version, now_ms)
         return super()._owner_answered(answer, now_ms)
 
 
 _BROKEN = {
-    'takes over a claim whose owner is silent': _TakesOver,
-    'takes an absent row for proof of no claim': _TrustsAbsence,
-    'goes on after giving up': _GoesOn,
+    'takes over a claim whose owner does not respond': _TakesOver,
+    'treats an absent row as proof of no claim': _TrustsAbsence,
+    'continues after giving up': _GoesOn,
     'replaces a claim whose owner is gone': _ReplacesGone,
 }
 
 
 def _run_histories(kind, examples):
     histories.run_histories(
-        claim_world.ClaimHistories, kind, examples, step_count=50
+        claim_simulation.ClaimHistories, kind, examples, step_count=50
     )
 
 
-@behave.then('{count:d} random histories of a keyed call keep every promise')
+@behave.then(
+    '{count:d} random histories of a keyed call satisfy all invariants'
+)
 def histories_hold(context, count):
     _run_histories(claims.Claim, count)
 
 
-@behave.then('random histories of a keyed call that {fault} are caught')
+@behave.then(
+    'random histories of a keyed call that {fault} violate an invariant'
+)
 def histories_catch(context, fault):
     try:
         _run_histories(_BROKEN[fault], 3_000)
     except AssertionError:
         return
-    raise LookupError(f'a keyed call that {fault} was not caught')
+    raise LookupError(
+        f'no invariant was violated by a keyed call that {fault}'
+    )
 
 
 def _begin(context):
@@ -97,7 +103,7 @@
     context.actions = context.claim.handle(messages.RowRead(row, 1), 0.0)
 
 
-@behave.given('a keyed call whose claim was committed without an answer')
+@behave.given('a keyed call whose claim was committed but its response lost')
 def given_lost(context):
     _begin(context)
     read = context.claim.handle(messages.WriteUnknown(), 0.0)
@@ -113,7 +119,7 @@
     assert again == []
 
 
-@behave.then('its outcome is stored over version {version:d}')
+@behave.then('its outcome replaces version {version:d} of the row')
 def stored_over(context, version):
     answer = plain_messages.Answer(200, 'text/plain', b'yes')
     end = plain_messages.EndCall(states.Outcome.DONE, 'ok', answer)
@@ -122,7 +128,7 @@
     assert stored.version == version
 
 
-@behave.given('a keyed call while the store is down')
+@behave.given('a keyed call while the store is unavailable')
 def given_down(context):
     _begin(context)
 
--- a/tests/steps/requests_plain_call.py
+++ b/tests/steps/requests_plain_call.py
@@ -1,4 +1,4 @@
-"""Steps on calls to plain services."""
+"""Steps for calls to plain services."""
 
 import random
 
@@ -9,7 +9,7 @@
 from eelgrassknot.requests import plain_call
 from eelgrassknot.requests import plain_messages as messages
 from eelgrassknot import states
-from tests import generation_world
+from tests import generation_simulation
 
 _REQUEST = ids.RequestId('r1')
 
@@ -18,7 +18,7 @@
     call = plain_call.PlainCall(
         _REQUEST, messages.CallClass(name), 5_000.0, random.Random(1)
     )
-    upstream = generation_world.upstream('p1')
+    upstream = generation_simulation.upstream('p1')
     (sent,) = call.handle(messages.Placed(upstream, False), 0.0)
     return call, sent
 
@@ -34,7 +34,7 @@
 
 @behave.when('its attempt fails and {what}')
 def attempt_fails(context, what):
-    left = what == 'bytes have left'
+    left = what == 'bytes were sent'
     _tell(context, messages.AttemptFailed(1, left))
 
 
@@ -72,7 +72,7 @@
     assert context.actions == [messages.Place(ids.UpstreamId('p1'))]
 
 
-@behave.then('the plain call wants another upstream')
+@behave.then('the plain call requests another upstream')
 def wants_another(context):
     assert context.actions == [messages.Place(ids.UpstreamId('p1'))]
 
@@ -86,7 +86,7 @@
 @behave.then('a plain call of class {name} needs a new connection')
 def needs_new(context, name):
     _, sent = _start(name)
-    assert sent.proven
+    assert sent.needs_new_connection
 
 
 @behave.then(
@@ -101,7 +101,7 @@
     assert runs[0] != runs[1]
 
 
-@behave.then('an answer with the status {status:d} stands for {outcome}')
+@behave.then('an answer with the status {status:d} indicates {outcome}')
 def stands_for(context, status, outcome):
     answer = messages.Answer(status, 'text/plain', b'')
     assert plain_call.outcome_of(answer).value == outcome
--- a/tests/steps/standins_engine_model.py
+++ b/tests/steps/standins_engine_model.py
@@ -1,4 +1,4 @@
-"""Steps on the engine's model, driven by a clock of the test."""
+"""Steps for the engine simulation, with time controlled by the test."""
 
 import behave
 import hypothesis
@@ -19,22 +19,18 @@
 
 
 def _run(engine, limit_ms=600_000.0):
-    happenings = engine.advance(limit_ms)
+    events = engine.advance(limit_ms)
     assert not engine.running and not engine.waiting
-    return happenings
+    return events
 
 
-def _ends(happenings):
-    return [
-        h.generation for h in happenings if isinstance(h, engine_model.Ended)
-    ]
+def _ends(events):
+    return [h.generation for h in events if isinstance(h, engine_model.Ended)]
 
 
-def _victims(happenings):
+def _victims(events):
     return {
-        h.generation
-        for h in happenings
-        if isinstance(h, engine_model.Preempted)
+        h.generation for h in events if isinstance(h, engine_model.Preempted)
     }
 
 
@@ -57,9 +53,9 @@
         now_ms = 0.0
         while engine.running or engine.waiting:
             now_ms += 10.0
-            for happening in engine.advance(now_ms):
-                if isinstance(happening, engine_model.Token):
-                    seen[happening.generation].append(happening.index)
+            for event in engine.advance(now_ms):
+                if isinstance(event, engine_model.Token):
+                    seen[event.generation].append(event.index)
             alone = len(engine.running) == 1
             assert alone or engine.kv_tokens_used() <= kv_tokens
             assert now_ms < 1_000_000
@@ -99,9 +95,9 @@
 
 @behave.then('"{victim}" is preempted and "{first}" ends first')
 def preempted(context, victim, first):
-    happenings = _run(context.engine)
-    assert _victims(happenings) == {victim}
-    assert _ends(happenings)[0] == first
+    events = _run(context.engine)
+    assert _victims(events) == {victim}
+    assert _ends(events)[0] == first
 
 
 @behave.then('both end with {tokens:d} tokens')
@@ -123,7 +119,7 @@
         context.waits.append(token.at_ms - begin_ms)
 
 
-@behave.then('the second first token comes sooner')
+@behave.then('the first token of the second run takes less time')
 def comes_sooner(context):
     first, second = context.waits
     assert second < first, context.waits
@@ -139,7 +135,7 @@
     assert len(_run(context.engine)) == 5 + 1
 
 
-@behave.when('generation "{name}" is cancelled in the middle')
+@behave.when('generation "{name}" is cancelled while it is running')
 def cancel_midway(context, name):
     _submit(context.engine, name, 50)
     context.engine.advance(0.0)
@@ -147,7 +143,7 @@
     context.engine.cancel(name, 200.0)
 
 
-@behave.then('no memory is held and it produces no more')
+@behave.then('no memory is used and no further tokens are produced')
 def holds_nothing(context):
     assert context.engine.kv_tokens_used() == 0
     assert context.engine.advance(10_000.0) == []
--- a/tests/steps/standins_table.py
+++ b/tests/steps/standins_table.py
@@ -1,4 +1,4 @@
-"""Steps on the table of the platform's stand-in."""
+"""Steps for the table of the platform's stand-in."""
 
 import behave
 import hypothesis
@@ -27,7 +27,7 @@
     return strategies.lists(transaction, max_size=15)
 
 
-@behave.then('any transactions leave the table as a simple model has it')
+@behave.then('after any transactions the table equals a simple model')
 def matches_model(context):
     @hypothesis.given(_transactions())
     @hypothesis.settings(max_examples=100, deadline=None)
@@ -46,7 +46,7 @@
             met = all(
                 model.get(k, (None, None))[1] == v for k, v in conditions
             )
-            assert met != isinstance(outcome, tables.Failed)
+            assert met != isinstance(outcome, tables.FailedCondition)
             if met:
                 _apply(model, writes, outcome, used)
         rows = {r['key']: r for r in table.scan('t', '', '', None)}
