--- a/eelgrassknot/coordination/digest_part.py
+++ b/eelgrassknot/coordination/digest_part.py
@@ -131,7 +131,7 @@
         state = states.UpstreamState.LIVE
         if entry.leaving:
             state = states.UpstreamState.LEAVING
-        self.dispatch.tell(
+        self.dispatch.notify(
             policy_messages.LoadReported(
                 policy_messages.EngineLoad(
                     info.upstream,
@@ -149,7 +149,7 @@
     def _report_cache(
         self, info: events.UpstreamInfo, entry: messages.CacheEntry
     ) -> None:
-        self.dispatch.tell(
+        self.dispatch.notify(
             policy_messages.CacheEventsReceived(
                 info.upstream,
                 _prefixes(entry.stored),
@@ -200,7 +200,7 @@
         if info is None:
             return
         self.in_flight_keys.setdefault(vm, set()).add(held.upstream)
-        self.dispatch.tell(
+        self.dispatch.notify(
             policy_messages.DigestReceived(
                 vm, info.upstream, held.running, held.expected_tokens
             )
@@ -212,7 +212,7 @@
         account = self.accounts.get(demand.client_account)
         if account is not None:
             rate = demand.milli_requests_per_second / 1_000
-            self.dispatch.tell(
+            self.dispatch.notify(
                 policy_messages.PeerDemandReceived(vm, account, rate)
             )
 
@@ -248,7 +248,7 @@
                 )
         for info in known if load.upstreams else ():
             share = _average(info, load, now_ms)
-            self.dispatch.tell(policy_messages.LoadReported(share))
+            self.dispatch.notify(policy_messages.LoadReported(share))
 
     def _on_upstreams_changed(self, event: events.UpstreamsChanged) -> None:
         with self.lock:
@@ -271,10 +271,10 @@
             for key in self.in_flight_keys.pop(vm, ()):
                 info = self._find_upstream(key)
                 if info is not None:
-                    self.dispatch.tell(
+                    self.dispatch.notify(
                         policy_messages.DigestReceived(vm, info.upstream, 0, 0)
                     )
-        self.dispatch.tell(
+        self.dispatch.notify(
             policy_messages.VmCountsChanged(event.count, len(event.members))
         )
 
--- a/eelgrassknot/coordination/order_part.py
+++ b/eelgrassknot/coordination/order_part.py
@@ -54,7 +54,7 @@
         subscribe(lease_part.LeaseEnded, self.events.put)
         subscribe(kernel_events.ConfigAdopted, self.events.put)
         subscribe(kernel_events.UpstreamsChanged, self.events.put)
-        subscribe(kernel_events.GenerationFacts, self._request_ended)
+        subscribe(kernel_events.GenerationRecord, self._request_ended)
 
     def start(self) -> None:
         """Start the rounds; orders are sent while the lease is held."""
@@ -73,7 +73,7 @@
             }
         }
 
-    def _request_ended(self, facts: kernel_events.GenerationFacts) -> None:
+    def _request_ended(self, facts: kernel_events.GenerationRecord) -> None:
         if self.lease_held is None or facts.upstream is None:
             return
         # A sample of the requests suffices to compare two versions.
@@ -280,7 +280,7 @@
             timeout_ms=STATE_TIMEOUT_MS,
         )
         match answer:
-            case result.Ok(http_client.HttpAnswer(status=200, body=body)):
+            case result.Ok(http_client.HttpResponse(status=200, body=body)):
                 try:
                     state = msgspec.json.decode(body, type=orders.EngineState)
                 except msgspec.MsgspecError as error:
@@ -298,12 +298,12 @@
 
 
 def _order_state(
-    answer: result.Result[http_client.HttpAnswer, exceptions.UpstreamError],
+    answer: result.Result[http_client.HttpResponse, exceptions.UpstreamError],
 ) -> order_rows.OrderState:
     match answer:
-        case result.Ok(http_client.HttpAnswer(status=202)):
+        case result.Ok(http_client.HttpResponse(status=202)):
             return order_rows.OrderState.TAKEN
-        case result.Ok(http_client.HttpAnswer(status=409)):
+        case result.Ok(http_client.HttpResponse(status=409)):
             return order_rows.OrderState.STALE
         case result.Ok(_):
             return order_rows.OrderState.REFUSED
--- a/eelgrassknot/daemon.py
+++ b/eelgrassknot/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: every entry VM runs one."""
+"""The daemon process that runs on every entry VM."""
 
 import concurrent.futures
 import faulthandler
@@ -28,7 +28,7 @@
 __all__ = ['create_node', 'main', 'serve']
 
 EXECUTOR_THREADS = 16
-BALANCER_LAG_MS = 2_000
+BALANCER_DETECTION_MS = 2_000
 
 _PLUGIN_PACKAGES = (
     'eelgrassknot.storage',
@@ -40,13 +40,13 @@
 
 
 def create_node(settings: vm_settings.VmSettings) -> kernel_node.Node:
-    """Return a node with all registered parts, not yet started.
+    """Return an unstarted node with all registered parts.
 
     Args:
         settings: Settings of this VM.
 
     Raises:
-        PluginError: If the platform's plug-in is not known.
+        PluginError: If the platform plug-in is unknown.
     """
     for package in _PLUGIN_PACKAGES:
         registry.load_plugins(package)
@@ -69,20 +69,21 @@
 
     Args:
         node: The node to run.
-        leave: Set when the node has to leave.
+        leave: Event that is set when the node must leave.
 
     Raises:
         StartError: If a part of the node cannot start.
     """
-    node.hub.subscribe(events.LeaveTold, lambda _: leave.set())
+    node.hub.subscribe(events.VmLeaving, lambda _: leave.set())
     node.part_set.start()
     node.state = states.DaemonState.READY
     logs.event('ready', vm=node.settings.vm, incarnation=node.incarnation)
     leave.wait()
     node.state = states.DaemonState.DRAINING
     logs.event('draining', vm=node.settings.vm)
-    # The balancer goes on sending until it has seen that we are not ready.
-    threading.Event().wait(BALANCER_LAG_MS / 1000)
+    # The balancer keeps sending requests until it detects that this VM is
+    # not ready.
+    threading.Event().wait(BALANCER_DETECTION_MS / 1000)
     node.part_set.drain()
     node.part_set.stop()
     node.executor.shutdown()
@@ -94,13 +95,13 @@
         str, typer.Option(help='Path of the JSON settings of this VM.')
     ],
     check: typing.Annotated[
-        bool, typer.Option(help='Check the settings and end.')
+        bool, typer.Option(help='Check the settings and exit.')
     ] = False,
 ) -> None:
     """Run the daemon of an entry VM."""
     try:
         if check:
-            _check(settings)
+            _check_settings(settings)
             return
         loaded = vm_settings.load(settings)
         for key in (*loaded.cursor_keys, *loaded.peer_keys):
@@ -110,7 +111,7 @@
         raise typer.Exit(1) from error
     logs.configure(loaded.log_level)
     leave = threading.Event()
-    # An operator can see where a daemon hangs: kill -USR1.
+    # SIGUSR1 dumps the stacks of all threads, to diagnose a hung daemon.
     faulthandler.register(signal.SIGUSR1, all_threads=True)
     signal.signal(signal.SIGTERM, lambda *_: leave.set())
     signal.signal(signal.SIGINT, lambda *_: leave.set())
@@ -118,19 +119,20 @@
         serve(create_node(loaded), leave)
     except exceptions.StartError as error:
         logs.error('start_failed', part=error.part, why=str(error))
-        # Threads of the parts that run would keep the process alive,
-        # which serves nobody; the platform replaces a VM that ends.
+        # Threads of parts that have started would keep a useless process
+        # alive. Exit at once, because the platform replaces the VM when its
+        # process ends.
         os._exit(1)
 
 
-def _check(path: str) -> None:
-    """Print all faults of the settings, or that there are none."""
+def _check_settings(path: str) -> None:
+    """Print all faults of the settings and exit with 1 if there are any."""
     found = settings_check.check_vm(vm_settings.read_document(path))
     for fault in found:
         typer.echo(str(fault), err=True)
     if found:
         raise typer.Exit(1)
-    typer.echo('the settings can be used')
+    typer.echo('the settings are valid')
 
 
 def main() -> None:
--- a/eelgrassknot/forwarding/machine_driver.py
+++ b/eelgrassknot/forwarding/machine_driver.py
@@ -1,31 +1,31 @@
-"""What the drivers of calls and streams share: time-outs of a machine."""
+"""Base class of the call and stream drivers: timeouts of a state machine."""
 
 import typing
 
 from eelgrassknot.forwarding import loop as loops
 from eelgrassknot.forwarding import work as works
 
-__all__ = ['Machine', 'MachineDriver']
+__all__ = ['StateMachine', 'MachineDriver']
 
 
-class Machine(typing.Protocol):
-    """A state machine that has to be told of the time."""
+class StateMachine(typing.Protocol):
+    """A state machine that depends on time."""
 
     def wake_ms(self) -> float:
-        """Return the time at which a tick is needed next."""
+        """Return the time at which the next tick is due."""
 
 
 class MachineDriver:
-    """Tells a state machine of the time while its request is in hand.
+    """Sends ticks to a state machine while its request is in progress.
 
     Args:
-        context: What drivers use.
+        context: Shared dependencies of all drivers.
         work: The request.
         machine: The state machine.
     """
 
     def __init__(
-        self, context: works.Context, work: works.Work, machine: Machine
+        self, context: works.Context, work: works.Work, machine: StateMachine
     ) -> None:
         self.context = context
         self.work = work
@@ -33,27 +33,27 @@
         self.timer: loops.Timer | None = None
 
     def now_ms(self) -> float:
-        """Return the present time in milliseconds."""
+        """Return the current time in milliseconds."""
         return self.context.loop.now_ms()
 
     def tick(self) -> None:
-        """Tell the machine that time has passed."""
+        """Notify the state machine that time has passed."""
         raise NotImplementedError
 
-    def arm(self) -> None:
-        """Set the time-out that the machine wants now."""
-        self.disarm()
+    def schedule_timeout(self) -> None:
+        """Schedule the next timeout of the state machine."""
+        self.cancel_timeout()
         if not self.work.exchange.is_over:
             self.timer = self.context.loop.call_at(
-                self.machine.wake_ms(), self._timed_out
+                self.machine.wake_ms(), self._on_timeout
             )
 
-    def disarm(self) -> None:
-        """Take the time-out back."""
+    def cancel_timeout(self) -> None:
+        """Cancel the scheduled timeout."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
-    def _timed_out(self) -> None:
+    def _on_timeout(self) -> None:
         self.timer = None
         self.tick()
--- a/eelgrassknot/forwarding/overview.py
+++ b/eelgrassknot/forwarding/overview.py
@@ -1,4 +1,4 @@
-"""What the platform's store says of a deployment, for operators."""
+"""Summary of a deployment for operators, read from the platform's store."""
 
 import collections.abc
 
@@ -13,16 +13,17 @@
 from eelgrassknot.forwarding import row_store
 from eelgrassknot import ids
 
-__all__ = ['Overview', 'UpstreamLine', 'VmLine', 'read_overview']
+__all__ = ['Overview', 'UpstreamSummary', 'VmSummary', 'read_overview']
 
 UNREADABLE = 'unreadable'
 
 
-class UpstreamLine(msgspec.Struct, frozen=True):
-    """One upstream that is listed.
+class UpstreamSummary(msgspec.Struct, frozen=True):
+    """One listed upstream.
 
     Attributes:
-        state: Its state, or ``unreadable`` if its entry names none.
+        state: State of the upstream; ``unreadable`` if its entry cannot be
+            decoded.
     """
 
     upstream: str
@@ -32,8 +33,8 @@
     state: str
 
 
-class VmLine(msgspec.Struct, frozen=True):
-    """One entry VM that has written a row."""
+class VmSummary(msgspec.Struct, frozen=True):
+    """One entry VM with a row in the store."""
 
     vm: str
     availability_zone: str
@@ -41,7 +42,7 @@
 
 
 class Overview(msgspec.Struct, frozen=True):
-    """What is listed in the store.
+    """Contents of the store.
 
     Attributes:
         state_version: Version of the state in force; None before the first.
@@ -50,8 +51,8 @@
     state_version: int | None
     routes: int
     accounts: int
-    upstreams: list[UpstreamLine]
-    vms: list[VmLine]
+    upstreams: list[UpstreamSummary]
+    vms: list[VmSummary]
 
 
 def read_overview(
@@ -59,7 +60,7 @@
     dialect: dialects.Dialect,
     regions: collections.abc.Mapping[str, str],
 ) -> result.Result[Overview, exceptions.EelgrassknotError]:
-    """Read the tables of a deployment, three calls in all.
+    """Read the tables of a deployment with three calls.
 
     Args:
         store: Client of the store.
@@ -90,26 +91,28 @@
             routes=len(state.routes) if state else 0,
             accounts=len(state.accounts) if state else 0,
             upstreams=[
-                _upstream_line(row.key, dialect.decode_upstream, row, regions)
+                _summarize_upstream(
+                    row.key, dialect.decode_upstream, row, regions
+                )
                 for row in upstreams.rows
             ],
-            vms=[_vm_line(row) for row in vms.rows],
+            vms=[_summarize_vm(row) for row in vms.rows],
         )
     )
 
 
-def _upstream_line(
+def _summarize_upstream(
     name: str,
     decode: collections.abc.Callable,
     row: row_store.StoreRow,
     regions: collections.abc.Mapping[str, str],
-) -> UpstreamLine:
+) -> UpstreamSummary:
     decoded: result.Result[model.Upstream, exceptions.MalformedAnswerError] = (
         decode(name, row.value, regions)
     )
     match decoded:
         case result.Ok(found):
-            return UpstreamLine(
+            return UpstreamSummary(
                 name,
                 found.service,
                 found.availability_zone,
@@ -117,14 +120,14 @@
                 found.state.value,
             )
         case _:
-            return UpstreamLine(name, '', '', '', UNREADABLE)
+            return UpstreamSummary(name, '', '', '', UNREADABLE)
 
 
-def _vm_line(row: row_store.StoreRow) -> VmLine:
+def _summarize_vm(row: row_store.StoreRow) -> VmSummary:
     try:
         found = msgspec.json.decode(row.value, type=peer_membership.VmRow)
     except msgspec.MsgspecError:
-        # Shown as it is: the VMs themselves log why they leave it out.
-        return VmLine(row.key, '', UNREADABLE)
+        # The VMs log why they ignore the row.
+        return VmSummary(row.key, '', UNREADABLE)
     zone = ids.AvailabilityZoneId(found.availability_zone)
-    return VmLine(row.key, zone, found.address)
+    return VmSummary(row.key, zone, found.address)
--- a/eelgrassknot/forwarding/peer_load.py
+++ b/eelgrassknot/forwarding/peer_load.py
@@ -1,4 +1,4 @@
-"""Counts what other entry VMs have at each upstream, as they tell it."""
+"""Load of the other entry VMs at each upstream, as reported by them."""
 
 import collections
 import collections.abc
@@ -10,45 +10,49 @@
 from eelgrassknot.policy import commitments
 from eelgrassknot.policy import plain
 
-__all__ = ['PeerTally', 'Teller', 'engine_entries']
+__all__ = ['PeerLoad', 'LoadSource', 'engine_entries']
 
-CALLS_LIVE_MS = 1_500.0
-"""Plain calls that were told longer ago are over; ms. Three times the
-longest pause between two messages of a zone of ten."""
+CALLS_TTL_MS = 1_500.0
+"""Time after which reported plain calls are taken to have ended; ms. Three
+times the longest pause between two messages in a zone of ten VMs."""
 
-Teller = tuple[str, str]
-"""Whose sums they are: ``('vm', name)`` or ``('zone', name)``."""
+LoadSource = tuple[str, str]
+"""Source of a report: ``('vm', name)`` or ``('zone', name)``."""
 
 
-class PeerTally:
-    """Sums of other VMs, each told by the VM or by a gateway of its zone.
+class PeerLoad:
+    """Load of other VMs, reported by each VM or by a gateway of its zone.
 
     Args:
-        desk: This VM's streams.
+        scheduler: This VM's streams.
         plain_pool: This VM's plain calls.
         loop: The event loop.
     """
 
     def __init__(
         self,
-        desk: engine_scheduler.EngineDesk,
+        scheduler: engine_scheduler.EngineScheduler,
         plain_pool: plain.PlainPool,
         loop: loops.EventLoop,
     ) -> None:
-        self.desk = desk
+        self.scheduler = scheduler
         self.plain_pool = plain_pool
         self.loop = loop
-        self.calls: dict[Teller, tuple[float, dict[ids.UpstreamId, int]]] = {}
+        self.calls: dict[
+            LoadSource, tuple[float, dict[ids.UpstreamId, int]]
+        ] = {}
 
     @property
-    def book(self) -> commitments.Commitments:
-        """Sums of runs, which placement reads."""
-        return self.desk.queue.commitments
+    def commitment_totals(self) -> commitments.Commitments:
+        """Totals of the runs on each engine, used for placement."""
+        return self.scheduler.queue.commitments
 
-    def take(
-        self, teller: Teller, news: messages.EntryNews | messages.ZoneNews
+    def update(
+        self,
+        source: LoadSource,
+        message: messages.EntryNews | messages.ZoneNews,
     ) -> None:
-        """Replace what was known of a VM or zone."""
+        """Replace the load of a VM or a zone by a new report."""
         sums = {
             entry.engine: commitments.EngineSums(
                 entry.runs,
@@ -56,38 +60,38 @@
                 entry.copy_tokens,
                 entry.unread_tokens,
             )
-            for entry in news.engines
+            for entry in message.engines
         }
         now_ms = self.loop.now_ms()
-        self.book.update_peer(teller, sums, now_ms)
-        self.calls[teller] = (now_ms, dict(news.calls))
-        self.plain_pool.peer_running = self._calls(None)
-        if self.desk.queue.waiting:
-            self.desk.step_soon()
+        self.commitment_totals.update_peer(source, sums, now_ms)
+        self.calls[source] = (now_ms, dict(message.calls))
+        self.plain_pool.peer_running = self._count_calls(None)
+        if self.scheduler.queue.waiting:
+            self.scheduler.schedule_step()
 
-    def engines(
+    def engine_sums(
         self,
-        tellers: collections.abc.Collection[Teller] = (),
+        sources: collections.abc.Collection[LoadSource] = (),
     ) -> dict[ids.UpstreamId, commitments.EngineSums]:
-        """Return the sums of this VM and some others by engine."""
-        return self.book.all_sums(self.loop.now_ms(), tellers)
+        """Return the totals of this VM and the given sources by engine."""
+        return self.commitment_totals.all_sums(self.loop.now_ms(), sources)
 
     def running_calls(
-        self, tellers: collections.abc.Collection[Teller] = ()
+        self, sources: collections.abc.Collection[LoadSource] = ()
     ) -> dict[ids.UpstreamId, int]:
-        """Return the plain calls of this VM and some others."""
-        calls = self._calls(tellers)
+        """Return the plain calls of this VM and the given sources."""
+        calls = self._count_calls(sources)
         calls.update(self.plain_pool.running)
         return {upstream: count for upstream, count in calls.items() if count}
 
-    def _calls(
-        self, tellers: collections.abc.Collection[Teller] | None
+    def _count_calls(
+        self, sources: collections.abc.Collection[LoadSource] | None
     ) -> collections.Counter:
         now_ms = self.loop.now_ms()
         total: collections.Counter = collections.Counter()
-        for teller, (told_ms, calls) in self.calls.items():
-            is_asked = tellers is None or teller in tellers
-            if is_asked and now_ms - told_ms <= CALLS_LIVE_MS:
+        for source, (received_ms, calls) in self.calls.items():
+            is_included = sources is None or source in sources
+            if is_included and now_ms - received_ms <= CALLS_TTL_MS:
                 total.update(calls)
         return total
 
@@ -95,7 +99,7 @@
 def engine_entries(
     sums: collections.abc.Mapping[ids.UpstreamId, commitments.EngineSums],
 ) -> tuple[messages.EngineEntry, ...]:
-    """Return sums as they are told to peers."""
+    """Encode totals for a message to peers."""
     return tuple(
         messages.EngineEntry(
             engine,
--- a/eelgrassknot/forwarding/settings_reload.py
+++ b/eelgrassknot/forwarding/settings_reload.py
@@ -1,4 +1,4 @@
-"""Reads the settings again when told to, or when their file has changed."""
+"""Reloads the settings on request or when their file has changed."""
 
 import pathlib
 import typing
@@ -10,28 +10,28 @@
 
 __all__ = ['Reloader']
 
-CHECK_MS = 2_000.0
-"""How often the file is looked at; ms. Changes need not be announced."""
+CHECK_INTERVAL_MS = 2_000.0
+"""Interval at which the file is checked; ms. No signal is needed."""
 
 
 class Daemon(typing.Protocol):
-    """What a reload needs of the daemon."""
+    """Interface of the daemon for a reload."""
 
     loop: loops.EventLoop
 
     def settings_changed(self, settings: entry_settings.EntrySettings) -> None:
-        """Put changed settings in force."""
+        """Apply changed settings."""
 
 
 class Reloader:
     """Keeps the settings of a daemon up to date.
 
-    A file that cannot be used changes nothing and is said so in the log;
-    what only a start can change stays as it is, and is said so too.
+    An invalid file changes nothing and is logged. Fields that take effect
+    only at the start of the daemon keep their values, which is also logged.
 
     Args:
         path: Path of the settings file.
-        settings: Settings in force.
+        settings: Current settings.
         daemon: The daemon.
     """
 
@@ -44,15 +44,15 @@
         self.path = path
         self.settings = settings
         self.daemon = daemon
-        self.seen = self._look()
+        self.last_signature = self._file_signature()
 
     def start(self) -> None:
-        """Begin to look at the file."""
-        self.daemon.loop.call_later(CHECK_MS, self._check)
+        """Start checking the file."""
+        self.daemon.loop.call_later(CHECK_INTERVAL_MS, self._reload_if_changed)
 
     def reload(self) -> None:
-        """Read the file and put what has changed in force."""
-        self.seen = self._look()
+        """Read the file and apply its changes."""
+        self.last_signature = self._file_signature()
         try:
             loaded = entry_settings.load(self.path)
         except exceptions.SettingsError as error:
@@ -71,13 +71,13 @@
         if changed:
             self.daemon.settings_changed(loaded)
 
-    def _check(self) -> None:
-        self.daemon.loop.call_later(CHECK_MS, self._check)
-        if self._look() != self.seen:
+    def _reload_if_changed(self) -> None:
+        self.daemon.loop.call_later(CHECK_INTERVAL_MS, self._reload_if_changed)
+        if self._file_signature() != self.last_signature:
             self.reload()
 
-    def _look(self) -> tuple[float, int] | None:
-        """Return what changes with the file, or None if it is not there."""
+    def _file_signature(self) -> tuple[float, int] | None:
+        """Return mtime and size of the file, or None if it is missing."""
         try:
             found = pathlib.Path(self.path).stat()
         except OSError:
--- a/eelgrassknot/forwarding/table_watch.py
+++ b/eelgrassknot/forwarding/table_watch.py
@@ -1,4 +1,4 @@
-"""Watches a table of the platform's store in a thread."""
+"""Thread that watches a table of the platform's store."""
 
 import collections.abc
 import dataclasses
@@ -13,25 +13,25 @@
 from eelgrassknot import logs
 from eelgrassknot.requests import backoff
 
-__all__ = ['TableNews', 'TableWatch', 'WatchFailed']
+__all__ = ['PageReceived', 'TableWatch', 'WatchFailed']
 
-UNWANTED_CHECK_MS = 50.0
-"""How often a watch that is not wanted looks whether it is; ms."""
-TAKE_IN_MS = 10.0
+INACTIVE_POLL_MS = 50.0
+"""Interval at which an inactive watch checks whether it is active; ms."""
+APPLY_DELAY_MS = 10.0
 RETRY_BASE_MS = 100.0
 RETRY_MAX_MS = 800.0
 
 
 @dataclasses.dataclass(frozen=True)
-class TableNews:
-    """The store answered.
+class PageReceived:
+    """A call to the store succeeded.
 
     Attributes:
-        after: Version after which the page holds all changes, or None
-            if it holds the whole table.
+        after: Version after which the page contains all changes, or None
+            if it contains the whole table.
         sent_ms: When the call was sent, on this VM's clock.
-        received_ms: When its answer came.
-        returned: Whether calls had failed before.
+        received_ms: When its response arrived.
+        recovered: Whether the previous call had failed.
     """
 
     table: str
@@ -39,15 +39,15 @@
     after: int | None
     sent_ms: float
     received_ms: float
-    returned: bool
+    recovered: bool
 
 
 @dataclasses.dataclass(frozen=True)
 class WatchFailed:
-    """A call failed.
+    """A call to the store failed.
 
     Attributes:
-        is_first: Whether the call before had been answered.
+        is_first: Whether the previous call had succeeded.
     """
 
     table: str
@@ -55,24 +55,25 @@
     is_first: bool
 
 
-News = TableNews | WatchFailed
+WatchEvent = PageReceived | WatchFailed
 
 
 class TableWatch:
-    """Reads a table, then waits for its changes, again and again.
+    """Reads a table, then polls for its changes.
 
     Args:
-        store: Client of the store, for this thread alone.
+        store: Store client, used only by this thread.
         table: Name of the table.
         wait_ms: How long one call waits for a change.
         clock: This VM's clock.
-        generator: Source of random delays.
-        deliver: Takes the news, in the watch's thread.
-        position: Returns the version after which changes are wanted, or
-            None for the whole table.
+        generator: Random number generator for the back-off.
+        deliver: Called with each event, in the thread of the watch.
+        resume_version: Returns the version after which changes are read,
+            or None to read the whole table.
 
     Attributes:
-        wanted: Whether to go on; peers may tell of the table instead.
+        active: Whether to call the store; an inactive VM receives the
+            table from its peers.
     """
 
     def __init__(
@@ -82,8 +83,8 @@
         wait_ms: float,
         clock: clocks.Clock,
         generator: random.Random,
-        deliver: collections.abc.Callable[[News], None],
-        position: collections.abc.Callable[[], int | None],
+        deliver: collections.abc.Callable[[WatchEvent], None],
+        resume_version: collections.abc.Callable[[], int | None],
     ) -> None:
         self.store = store
         self.table = table
@@ -91,22 +92,22 @@
         self.clock = clock
         self.generator = generator
         self.deliver = deliver
-        self.position = position
-        self.wanted = True
-        self.whole_next = True
+        self.resume_version = resume_version
+        self.active = True
+        self.needs_full_read = True
         self.failing = False
         self.stopped = threading.Event()
-        self.jitter = self._new_jitter()
+        self.backoff = self._create_backoff()
         self.thread = threading.Thread(
             target=self._run, name=f'watch-{table}', daemon=True
         )
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start the thread."""
         self.thread.start()
 
     def stop(self) -> None:
-        """Make no more calls; the thread ends with the call in hand."""
+        """Stop the thread after the current call."""
         self.stopped.set()
 
     def _run(self) -> None:
@@ -118,10 +119,10 @@
                 self.stopped.wait(RETRY_MAX_MS / clocks.MS_PER_SECOND)
 
     def _step(self) -> None:
-        if not self.wanted:
-            self.stopped.wait(UNWANTED_CHECK_MS / clocks.MS_PER_SECOND)
+        if not self.active:
+            self.stopped.wait(INACTIVE_POLL_MS / clocks.MS_PER_SECOND)
             return
-        after = None if self.whole_next else self.position()
+        after = None if self.needs_full_read else self.resume_version()
         sent_ms = self.clock.now_ms()
         if after is None:
             found = self.store.read_table(self.table)
@@ -129,14 +130,14 @@
             found = self.store.read_feed(self.table, after, self.wait_ms)
         match found:
             case result.Ok(page):
-                self._take(page, after, sent_ms)
+                self._handle_page(page, after, sent_ms)
             case result.Err(row_store.HistoryGoneError()):
                 logs.event('history_gone', table=self.table)
-                self.whole_next = True
+                self.needs_full_read = True
             case result.Err(error):
-                self._fail(error)
+                self._handle_failure(error)
 
-    def _take(
+    def _handle_page(
         self, page: row_store.RowPage, after: int | None, sent_ms: float
     ) -> None:
         if after is not None and page.version < after:
@@ -148,24 +149,24 @@
             )
             return
         metrics.STORE_CALLS.labels('answered').inc()
-        self.whole_next = False
+        self.needs_full_read = False
         returned, self.failing = self.failing, False
-        self.jitter = self._new_jitter()
+        self.backoff = self._create_backoff()
         now_ms = self.clock.now_ms()
         self.deliver(
-            TableNews(self.table, page, after, sent_ms, now_ms, returned)
+            PageReceived(self.table, page, after, sent_ms, now_ms, returned)
         )
-        # Gives the loop time to take the page in: the next call asks for
-        # what comes after it.
-        self.stopped.wait(TAKE_IN_MS / clocks.MS_PER_SECOND)
+        # Gives the event loop time to apply the page, because the next call
+        # asks for the changes after it.
+        self.stopped.wait(APPLY_DELAY_MS / clocks.MS_PER_SECOND)
 
-    def _fail(self, error: row_store.StoreError) -> None:
+    def _handle_failure(self, error: row_store.StoreError) -> None:
         metrics.STORE_CALLS.labels(error.code).inc()
         self.deliver(WatchFailed(self.table, error, not self.failing))
         self.failing = True
-        self.stopped.wait(self.jitter.next_ms() / clocks.MS_PER_SECOND)
+        self.stopped.wait(self.backoff.next_ms() / clocks.MS_PER_SECOND)
 
-    def _new_jitter(self) -> backoff.DecorrelatedJitter:
+    def _create_backoff(self) -> backoff.DecorrelatedJitter:
         return backoff.DecorrelatedJitter(
             self.generator, RETRY_BASE_MS, RETRY_MAX_MS
         )
--- a/eelgrassknot/forwarding/upstream_connection.py
+++ b/eelgrassknot/forwarding/upstream_connection.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams, and one attempt of a request on one of them."""
+"""Connection pool for upstreams, and attempts on its connections."""
 
 import collections
 import collections.abc
@@ -12,17 +12,17 @@
 from eelgrassknot import ids
 from eelgrassknot import logs
 
-__all__ = ['Attempt', 'AttemptListener', 'Fault', 'UpstreamLinks']
+__all__ = ['Attempt', 'AttemptListener', 'Fault', 'ConnectionPool']
 
 CONNECT_TIMEOUT_MS = 600.0
-"""Longest wait for a new connection; ms. Ten round trips between regions."""
+"""Timeout for a new connection; ms. Ten round trips between regions."""
 IDLE_MS = 8_000.0
-"""Longest time a connection to an upstream is kept unused; ms."""
-IDLE_SHARE = 0.8
-"""Part of the upstream's own Keep-Alive time that is used."""
-PROVEN_IDLE_MS = 1_000.0
-"""A connection unused for longer may have been dropped unseen; ms."""
-MAX_IDLE_EACH = 16
+"""Maximum time for which an idle connection is kept; ms."""
+KEEP_ALIVE_FRACTION = 0.8
+"""Fraction of the upstream's own Keep-Alive timeout that is used."""
+FRESH_IDLE_MS = 1_000.0
+"""Idle time after which a connection may have been dropped unnoticed; ms."""
+MAX_IDLE_PER_UPSTREAM = 16
 MAX_HEAD_BYTES = 65_536
 
 Headers = list[tuple[bytes, bytes]]
@@ -37,234 +37,239 @@
 
 
 class AttemptListener:
-    """Is told how an attempt goes; each method may be left out."""
+    """Callbacks of an attempt; all methods are optional."""
 
-    def answer_started(
+    def response_started(
         self, attempt: 'Attempt', status: int, headers: Headers
     ) -> None:
-        """The head of the answer has come."""
+        """Called with the head of the response."""
 
-    def answer_data(self, attempt: 'Attempt', data: bytes) -> None:
-        """A part of the body has come."""
+    def response_data(self, attempt: 'Attempt', data: bytes) -> None:
+        """Called with a part of the body."""
 
-    def answer_ended(self, attempt: 'Attempt') -> None:
-        """The answer is complete."""
+    def response_completed(self, attempt: 'Attempt') -> None:
+        """Called when the response is complete."""
 
     def attempt_failed(
         self, attempt: 'Attempt', fault: Fault, bytes_left: bool
     ) -> None:
-        """No answer, or no more of it, will come."""
+        """Called when no response, or no more of it, will come."""
 
 
-class _Link(connections.Handler):
-    """One connection to an upstream; serves one attempt at a time."""
+class _PooledConnection(connections.Handler):
+    """One connection to an upstream; used by one attempt at a time."""
 
-    def __init__(self, links: 'UpstreamLinks', address: str) -> None:
-        self.links = links
+    def __init__(self, pool: 'ConnectionPool', address: str) -> None:
+        self.pool = pool
         self.address = address
         self.attempt: Attempt | None = None
         self.idle_since_ms = 0.0
         self.keep_ms = IDLE_MS
         self.is_new = True
         self.connection = connections.Connection.opened(
-            links.loop, address, self
+            pool.loop, address, self
         )
 
     def connected(self) -> None:
         if self.attempt is not None:
-            self.attempt.linked()
+            self.attempt.connection_ready()
 
     def received(self, data: bytes) -> None:
         if self.attempt is not None:
             self.attempt.received(data)
         else:
-            # Bytes that belong to no request.
-            self.links.drop(self)
+            # These bytes belong to no request.
+            self.pool.drop(self)
 
     def ended(self, error: OSError | None) -> None:
-        self.links.forget(self)
+        self.pool.remove(self)
         if self.attempt is not None:
-            self.attempt.link_ended(error)
+            self.attempt.connection_ended(error)
 
 
-class UpstreamLinks:
-    """Keeps the connections to all upstreams.
+class ConnectionPool:
+    """Pool of the connections to all upstreams.
 
     Args:
-        loop: The loop that serves them.
+        loop: Event loop that serves the connections.
 
     Attributes:
-        idle: Connections that are kept for later, by address.
+        idle: Idle connections by address.
     """
 
     def __init__(self, loop: loops.EventLoop) -> None:
         self.loop = loop
-        self.idle: dict[str, list[_Link]] = collections.defaultdict(list)
+        self.idle: dict[str, list[_PooledConnection]] = (
+            collections.defaultdict(list)
+        )
 
-    def acquire(self, address: str, proven: bool) -> _Link:
-        """Return a connection, a new one if no kept one will do.
+    def acquire(self, address: str, require_fresh: bool) -> _PooledConnection:
+        """Return an idle connection, or a new one if none is suitable.
 
         Args:
             address: ``IP:port`` of the upstream.
-            proven: Whether a kept one must have been used of late.
+            require_fresh: Whether an idle connection must have been used
+                recently.
         """
         now_ms = self.loop.now_ms()
         kept = self.idle.get(address, [])
         while kept:
-            link = kept.pop()
-            unused_ms = now_ms - link.idle_since_ms
-            limit_ms = link.keep_ms
-            if proven:
-                limit_ms = min(limit_ms, PROVEN_IDLE_MS)
-            if unused_ms < limit_ms and not link.connection.closed:
-                link.is_new = False
-                return link
-            link.connection.close()
-        metrics.LINKS_OPENED.inc()
-        return _Link(self, address)
-
-    def release(self, link: _Link, keep_ms: float) -> None:
-        """Keep a connection whose answer is complete for later use."""
-        kept = self.idle[link.address]
-        if link.connection.closed or len(kept) >= MAX_IDLE_EACH:
-            link.connection.close()
+            pooled = kept.pop()
+            unused_ms = now_ms - pooled.idle_since_ms
+            limit_ms = pooled.keep_ms
+            if require_fresh:
+                limit_ms = min(limit_ms, FRESH_IDLE_MS)
+            if unused_ms < limit_ms and not pooled.connection.closed:
+                pooled.is_new = False
+                return pooled
+            pooled.connection.close()
+        metrics.CONNECTIONS_OPENED.inc()
+        return _PooledConnection(self, address)
+
+    def release(self, pooled: _PooledConnection, keep_ms: float) -> None:
+        """Return a connection to the pool after a complete response."""
+        kept = self.idle[pooled.address]
+        if pooled.connection.closed or len(kept) >= MAX_IDLE_PER_UPSTREAM:
+            pooled.connection.close()
             return
-        link.attempt = None
-        link.idle_since_ms = self.loop.now_ms()
-        link.keep_ms = min(IDLE_MS, keep_ms)
-        kept.append(link)
+        pooled.attempt = None
+        pooled.idle_since_ms = self.loop.now_ms()
+        pooled.keep_ms = min(IDLE_MS, keep_ms)
+        kept.append(pooled)
 
-    def drop(self, link: _Link) -> None:
-        """Close a connection that cannot be used again."""
-        self.forget(link)
-        link.connection.abort()
+    def drop(self, pooled: _PooledConnection) -> None:
+        """Close a connection that cannot be reused."""
+        self.remove(pooled)
+        pooled.connection.abort()
 
-    def forget(self, link: _Link) -> None:
-        """Take a connection out of those kept."""
-        kept = self.idle.get(link.address)
-        if kept and link in kept:
-            kept.remove(link)
+    def remove(self, pooled: _PooledConnection) -> None:
+        """Remove a connection from the idle ones."""
+        kept = self.idle.get(pooled.address)
+        if kept and pooled in kept:
+            kept.remove(pooled)
 
-    def forget_address(self, address: str) -> None:
-        """Close all kept connections to an upstream that has gone."""
-        for link in self.idle.pop(address, []):
-            link.connection.close()
+    def close_address(self, address: str) -> None:
+        """Close the idle connections to an upstream that has gone."""
+        for pooled in self.idle.pop(address, []):
+            pooled.connection.close()
 
 
 class Attempt:
-    """One request sent to one upstream, and the answer to it.
+    """One request sent to one upstream, and its response.
 
     Args:
-        links: Where connections come from.
-        request: Identifier that the answer must echo.
+        pool: Pool that provides the connection.
+        request: Request ID that the response must echo.
         address: ``IP:port`` of the upstream.
-        listener: Is told how it goes.
-        build: Returns the head when it is sent, with the time that is
-            left then.
-        body: The request's body, or None.
-        answered_request: Reads the echoed identifier from headers.
-        proven: Whether only a new or recently used connection will do.
+        listener: Receives the callbacks.
+        build_head: Called at send time; returns the head with the time
+            that remains then.
+        body: Body of the request, or None.
+        echoed_request_id: Decodes the echoed request ID from the headers.
+        require_fresh: Whether the connection must be new or recently used.
 
     Attributes:
-        sent_at_ms: When its first byte left, or None.
-        over: Whether nothing more will be told.
-        new_link: Whether it opened a connection.
+        sent_at_ms: When the first byte was sent, or None.
+        is_over: Whether the attempt has ended; no callbacks follow.
+        is_new_connection: Whether the attempt opened a connection.
     """
 
     def __init__(
         self,
-        links: UpstreamLinks,
+        pool: ConnectionPool,
         request: ids.RequestId | None,
         address: str,
         listener: AttemptListener,
-        build: collections.abc.Callable[[], h11.Request],
+        build_head: collections.abc.Callable[[], h11.Request],
         body: bytes | None,
-        answered_request: collections.abc.Callable[
+        echoed_request_id: collections.abc.Callable[
             [Headers], ids.RequestId | None
         ],
-        proven: bool,
+        require_fresh: bool,
     ) -> None:
-        self.links = links
+        self.pool = pool
         self.request = request
         self.listener = listener
-        self.build = build
+        self.build_head = build_head
         self.body = body
-        self.answered_request = answered_request
+        self.echoed_request_id = echoed_request_id
         self.parser: h11.Connection | None = None
         self.head: h11.Request | None = None
-        self.over = False
-        self.skipping = False
+        self.is_over = False
+        self.is_skipping = False
         self.keep_ms = IDLE_MS
         self.sent_at_ms: float | None = None
         self.timer: loops.Timer | None = None
-        self.link = links.acquire(address, proven)
-        self.link.attempt = self
-        self.new_link = self.link.is_new
-        if self.link.connection.connecting:
-            self.timer = links.loop.call_later(
+        self.pooled = pool.acquire(address, require_fresh)
+        self.pooled.attempt = self
+        self.is_new_connection = self.pooled.is_new
+        if self.pooled.connection.connecting:
+            self.timer = pool.loop.call_later(
                 CONNECT_TIMEOUT_MS, self._connect_timed_out
             )
         else:
-            self.linked()
+            self.connection_ready()
 
     @property
-    def bytes_left(self) -> bool:
-        """Whether any byte of the request may have left."""
+    def has_sent_bytes(self) -> bool:
+        """Whether any byte of the request may have been sent."""
         return self.sent_at_ms is not None
 
-    def linked(self) -> None:
-        """Send the request: the connection is there."""
-        if self.over:
+    def connection_ready(self) -> None:
+        """Send the request on the established connection."""
+        if self.is_over:
             return
         self._stop_timer()
         self.parser = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
-        self.head = self.build()
-        self.sent_at_ms = self.links.loop.now_ms()
+        self.head = self.build_head()
+        self.sent_at_ms = self.pool.loop.now_ms()
         data = self.parser.send(self.head)
         if self.body:
             data += self.parser.send(h11.Data(data=self.body))
         data += self.parser.send(h11.EndOfMessage())
-        self.link.connection.send(data)
+        self.pooled.connection.send(data)
 
     def received(self, data: bytes) -> None:
-        """Take in bytes of the upstream."""
+        """Parse bytes from the upstream."""
         self.parser.receive_data(data)
         self._read_events()
 
-    def link_ended(self, error: OSError | None) -> None:
-        """Take in that the connection has ended."""
-        if self.over:
+    def connection_ended(self, error: OSError | None) -> None:
+        """Handle the end of the connection."""
+        if self.is_over:
             return
         if self.parser is None:
             self._fail(Fault.NOT_CONNECTED)
             return
         if error is None:
-            # The end of a body without length, or a cut, as h11 judges.
+            # h11 decides whether this ends a body without a length or
+            # truncates the response.
             self.parser.receive_data(b'')
             self._read_events()
-        if not self.over:
+        if not self.is_over:
             self._fail(Fault.BROKEN)
 
     def cancel(self) -> None:
-        """End the attempt; the upstream sees its connection closed."""
-        if self.over:
+        """Abort the attempt and close its connection to the upstream."""
+        if self.is_over:
             return
-        self.over = True
+        self.is_over = True
         self._stop_timer()
-        self.links.drop(self.link)
+        self.pool.drop(self.pooled)
 
     def _read_events(self) -> None:
         try:
-            while not self.over:
+            while not self.is_over:
                 event = self.parser.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return
-                self._take(event)
+                self._handle_event(event)
         except h11.RemoteProtocolError as error:
-            if self.link.connection.closed:
-                # The upstream broke off; there is no more to its answer.
+            if self.pooled.connection.closed:
+                # The upstream closed the connection; the response is
+                # truncated, not malformed.
                 self._fail(Fault.BROKEN)
                 return
             logs.warning(
@@ -272,42 +277,43 @@
             )
             self._fail(Fault.MALFORMED)
 
-    def _take(self, event: h11.Event) -> None:
+    def _handle_event(self, event: h11.Event) -> None:
         match event:
             case h11.Response():
-                self._take_head(event)
+                self._handle_head(event)
             case h11.Data():
-                if not self.skipping:
-                    self.listener.answer_data(self, bytes(event.data))
+                if not self.is_skipping:
+                    self.listener.response_data(self, bytes(event.data))
             case h11.EndOfMessage():
-                if self.skipping:
-                    self._read_next_answer()
+                if self.is_skipping:
+                    self._await_next_response()
                 else:
-                    self._complete()
+                    self._finish()
             case h11.ConnectionClosed():
                 self._fail(Fault.BROKEN)
 
-    def _take_head(self, head: h11.Response) -> None:
+    def _handle_head(self, head: h11.Response) -> None:
         headers = list(head.headers)
-        echoed = self.answered_request(headers)
-        # A late second answer to an earlier request on this connection.
-        self.skipping = (
+        echoed = self.echoed_request_id(headers)
+        # A late duplicate response to an earlier request on this connection
+        # is skipped.
+        self.is_skipping = (
             echoed is not None
             and self.request is not None
             and echoed != self.request
         )
-        if self.skipping:
+        if self.is_skipping:
             logs.warning(
                 'answer_skipped', request=self.request, belongs_to=echoed
             )
             return
         self.keep_ms = _keep_alive_ms(headers)
-        self.listener.answer_started(
+        self.listener.response_started(
             self, head.status_code, list(head.headers.raw_items())
         )
 
-    def _read_next_answer(self) -> None:
-        """Wait for the own answer behind one that belongs elsewhere."""
+    def _await_next_response(self) -> None:
+        """Read on after a skipped response to another request."""
         rest, _closed = self.parser.trailing_data
         if self.parser.their_state is not h11.DONE:
             self._fail(Fault.BROKEN)
@@ -319,34 +325,34 @@
         if self.body:
             self.parser.send(h11.Data(data=self.body))
         self.parser.send(h11.EndOfMessage())
-        self.skipping = False
+        self.is_skipping = False
         if rest:
             self.parser.receive_data(rest)
 
-    def _complete(self) -> None:
-        self.over = True
+    def _finish(self) -> None:
+        self.is_over = True
         reusable = (
             self.parser.our_state is h11.DONE
             and self.parser.their_state is h11.DONE
             and not self.parser.trailing_data[0]
-            and not self.link.connection.unsent
+            and not self.pooled.connection.send_buffer
             and self.keep_ms > 0
         )
         if reusable:
-            self.links.release(self.link, self.keep_ms)
+            self.pool.release(self.pooled, self.keep_ms)
         else:
-            self.link.connection.close()
-        self.listener.answer_ended(self)
+            self.pooled.connection.close()
+        self.listener.response_completed(self)
 
     def _fail(self, fault: Fault) -> None:
-        self.over = True
+        self.is_over = True
         self._stop_timer()
-        self.links.drop(self.link)
-        self.listener.attempt_failed(self, fault, self.bytes_left)
+        self.pool.drop(self.pooled)
+        self.listener.attempt_failed(self, fault, self.has_sent_bytes)
 
     def _connect_timed_out(self) -> None:
         self.timer = None
-        if not self.over and self.parser is None:
+        if not self.is_over and self.parser is None:
             self._fail(Fault.NOT_CONNECTED)
 
     def _stop_timer(self) -> None:
@@ -356,12 +362,12 @@
 
 
 def _keep_alive_ms(headers: Headers) -> float:
-    """Return how long the upstream keeps its connection open unused."""
+    """Return how long an idle connection may be kept, from the headers."""
     found = dict(headers)
     if b'close' in found.get(b'connection', b'').lower():
         return 0.0
     for parameter in found.get(b'keep-alive', b'').split(b','):
         name, _, value = parameter.strip().partition(b'=')
         if name.lower() == b'timeout' and value.strip().isdigit():
-            return int(value) * 1_000.0 * IDLE_SHARE
+            return int(value) * 1_000.0 * KEEP_ALIVE_FRACTION
     return IDLE_MS
--- a/eelgrassknot/forwarding/work.py
+++ b/eelgrassknot/forwarding/work.py
@@ -1,4 +1,4 @@
-"""One request in hand: what the drivers of calls and streams share."""
+"""State of a forwarded request, shared by the call and stream drivers."""
 
 import collections.abc
 import dataclasses
@@ -23,30 +23,31 @@
 __all__ = ['Context', 'Work', 'send']
 
 SEND_MARGIN_MS = 5.0
-"""Time kept for the way back of an answer; ms."""
+"""Time reserved for the way back of the response; ms."""
 
 
 @dataclasses.dataclass
 class Context:
-    """What all drivers use.
+    """Shared dependencies of all drivers.
 
     Attributes:
-        book: Health of the upstreams.
-        plain_pool: Chooses upstreams of plain services.
-        desk: Chooses engines.
+        health: Health of the upstreams.
+        plain_pool: Selects upstreams of plain services.
+        scheduler: Selects engines.
         budgets: Retry budget of each service.
-        retry_ratio: Repeats that a request of a service earns.
-        retry_burst: Returns how many repeats this VM may save: its share
-            of what all VMs may make together.
+        retry_ratio: Number of retries that each request adds to the
+            budget.
+        retry_burst: Returns the maximum budget of this VM, its share of the
+            retries allowed to all VMs together.
     """
 
     loop: loops.EventLoop
-    links: upstream_connection.UpstreamLinks
+    connections: upstream_connection.ConnectionPool
     dialect: dialect.Dialect
     generator: random.Random
-    book: health.HealthTracker
+    health: health.HealthTracker
     plain_pool: plain.PlainPool
-    desk: 'engine_scheduler.EngineDesk'
+    scheduler: 'engine_scheduler.EngineScheduler'
     retry_ratio: float
     retry_burst: collections.abc.Callable[[], float]
     budgets: dict[ids.ServiceName, retry_budget.RetryBudget] = (
@@ -66,12 +67,12 @@
 
 @dataclasses.dataclass
 class Work:
-    """One request that is to be forwarded.
+    """One request to be forwarded.
 
     Attributes:
-        started_ms: When its head had come.
-        deadline_ms: Time by which it has to end.
-        rank: Its urgency; 0 is the most urgent.
+        started_ms: When the head of the request was complete.
+        deadline_ms: Time by which the request must be completed.
+        priority: Priority of the request; 0 is the most urgent.
     """
 
     exchange: caller_connection.Exchange
@@ -79,7 +80,7 @@
     route: model.Route
     service: model.Service
     account: ids.ClientAccountId | None
-    rank: int
+    priority: int
     headers: dialect.CallerHeaders
     started_ms: float
     deadline_ms: float
@@ -90,25 +91,26 @@
     work: Work,
     upstream: model.Upstream,
     listener: upstream_connection.AttemptListener,
-    facts: collections.abc.Callable[[float], dialect.ForwardingFacts],
-    proven: bool,
+    metadata: collections.abc.Callable[[float], dialect.ForwardingMetadata],
+    require_fresh: bool,
 ) -> upstream_connection.Attempt:
     """Send a request to an upstream.
 
     Args:
-        context: What drivers use.
+        context: Shared dependencies of all drivers.
         work: The request.
-        upstream: Where it goes.
-        listener: Is told how it goes.
-        facts: Returns what the upstream is told, given the time left.
-        proven: Whether only a new or recently used connection will do.
+        upstream: The upstream.
+        listener: Receives the callbacks of the attempt.
+        metadata: Returns the metadata for the upstream, given the remaining
+            time.
+        require_fresh: Whether the connection must be new or recently used.
     """
     request = work.exchange.request
 
     def build() -> h11.Request:
         left_ms = work.deadline_ms - context.loop.now_ms() - SEND_MARGIN_MS
         headers = context.dialect.forwarded_headers(
-            request.raw_headers, facts(left_ms)
+            request.raw_headers, metadata(left_ms)
         )
         if request.has_body:
             length = str(len(request.body)).encode('ascii')
@@ -118,12 +120,12 @@
         )
 
     return upstream_connection.Attempt(
-        context.links,
+        context.connections,
         work.request,
         upstream.address,
         listener,
         build,
         request.body or None,
-        context.dialect.answered_request,
-        proven,
+        context.dialect.echoed_request_id,
+        require_fresh,
     )
--- a/eelgrassknot/frontend/claim_part.py
+++ b/eelgrassknot/frontend/claim_part.py
@@ -1,4 +1,4 @@
-"""Claims of this VM: carries out what the state machine asks for."""
+"""Performs the I/O of the state machine for claims of keyed calls."""
 
 import collections.abc
 import dataclasses
@@ -38,7 +38,7 @@
 
     Attributes:
         row_key: Key of its row.
-        store_ms: Time that was spent on the store and on owners.
+        store_ms: Time spent on the store and on queries to owners.
     """
 
     row_key: str
@@ -50,13 +50,13 @@
 
 @parts.part('claims', after=('relays', 'dispatch'))
 class ClaimPart(parts.Part):
-    """Writes claims and stores how the calls ended.
+    """Writes claims and stores the outcomes of calls.
 
-    An answer goes to its caller at once and to the store soon after,
-    with others in one transaction.
+    An answer is returned to its caller immediately and stored shortly
+    afterwards, together with others in one transaction.
 
     Attributes:
-        ledger: What peers are told about this VM's claims.
+        ledger: Record of this VM's claims, queried by peers.
         storing: Calls whose outcome is not stored yet.
     """
 
@@ -72,7 +72,7 @@
         )
 
     def bind(self) -> None:
-        """Learn of the parts that this one works with."""
+        """Obtain references to the parts that this one uses."""
         members = self.node.part_set.parts
         self.relays = members['relays']
         peers_part = members.get('request_peers')
@@ -80,11 +80,11 @@
             peers_part.lookup_owner = self.ledger.answer
 
     def start(self) -> None:
-        """Begin to store outcomes."""
+        """Start storing outcomes."""
         self.loop.start()
 
     def drain(self) -> None:
-        """Store the outcomes that are known; give up after a while."""
+        """Wait until known outcomes are stored, up to a time limit."""
         until_ms = self.node.clock.now_ms() + DRAIN_STORE_MS
         while self.storing and self.node.clock.now_ms() < until_ms:
             self.loop.stopped.wait(STORE_POLL_MS / clocks.MS_PER_SECOND)
@@ -92,17 +92,17 @@
             logs.warning('outcomes_not_stored', calls=len(self.storing))
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread."""
         self.loop.stop()
 
     def status(self) -> dict[str, object]:
-        """Return how many outcomes wait for the store."""
+        """Return the number of outcomes that are not stored yet."""
         return {'claims': {'storing': len(self.storing)}}
 
     def create(
         self, row_key: str, request_hash: str, deadline_ms: float
     ) -> KeyedCall:
-        """Return a call whose key is to be claimed.
+        """Return a keyed call with a new claim.
 
         Args:
             row_key: Key of the call's row.
@@ -121,11 +121,11 @@
         call: KeyedCall,
         dispatch: collections.abc.Callable[[], plain_messages.EndCall],
     ) -> messages.EndClaim:
-        """Claim the key, dispatch at most once, and return the outcome.
+        """Claim the key, dispatch at most once and return the outcome.
 
         Args:
-            call: The call.
-            dispatch: Runs the call; called at most once.
+            call: Keyed call.
+            dispatch: Runs the call; invoked at most once.
         """
         ended: messages.EndClaim | None = None
         pending = call.machine.start()
@@ -139,7 +139,7 @@
                     ended = action
                 case messages.StartCall():
                     event = messages.CallEnded(dispatch())
-                    pending += self._tell(call, event)
+                    pending += self._handle(call, event)
                 case messages.StoreOutcome():
                     self._store_later(call, action)
                 case _:
@@ -147,13 +147,13 @@
                     event = self._perform(call, action)
                     now_ms = self.node.clock.now_ms()
                     call.store_ms += now_ms - started_ms
-                    pending += self._tell(call, event)
+                    pending += self._handle(call, event)
         return ended
 
     def read_answer(
         self, row: messages.ClaimRow
     ) -> plain_messages.Answer | None:
-        """Return the answer that an earlier call of the key gave."""
+        """Return the answer that an earlier call with the key received."""
         if row.answer_object is None:
             return row.answer
         match self.node.platform.objects.get(row.answer_object):
@@ -161,7 +161,7 @@
                 return msgspec.msgpack.decode(body, type=plain_messages.Answer)
         return None
 
-    def _tell(
+    def _handle(
         self, call: KeyedCall, event: messages.Event
     ) -> list[messages.Action]:
         return call.machine.handle(event, self.node.clock.now_ms())
@@ -169,7 +169,7 @@
     def _sleep(self, call: KeyedCall) -> list[messages.Action]:
         wait_ms = call.machine.wake_ms() - self.node.clock.now_ms()
         threading.Event().wait(max(wait_ms, 1.0) / clocks.MS_PER_SECOND)
-        return self._tell(call, messages.Tick())
+        return self._handle(call, messages.Tick())
 
     def _perform(
         self, call: KeyedCall, action: messages.Action
@@ -181,14 +181,16 @@
             case messages.ReadRow():
                 return self._read(call.row_key)
             case messages.AskOwner(row):
-                answer = self._ask_owner(row)
+                answer = self._query_owner(row)
                 return messages.OwnerAnswered(answer)
         raise TypeError(action)
 
-    def _ask_owner(self, row: messages.ClaimRow):
+    def _query_owner(self, row: messages.ClaimRow):
         if row.vm == self.node.settings.vm:
             return self.ledger.answer(row.incarnation, row.nonce)
-        return self.relays.peers.ask_owner(row.vm, row.incarnation, row.nonce)
+        return self.relays.peers.query_owner(
+            row.vm, row.incarnation, row.nonce
+        )
 
     def _row(
         self,
@@ -261,7 +263,7 @@
             waiting = list(self.storing.values())
         for call in waiting:
             if call.machine.wake_ms() <= now_ms:
-                self._settle(call, messages.Tick())
+                self._record_result(call, messages.Tick())
 
     def _store_group(self) -> None:
         with self.lock:
@@ -271,19 +273,19 @@
         for call, action in group:
             row = self._outcome_row(call, action)
             if row is None:
-                self._settle(call, messages.WriteUnavailable())
+                self._record_result(call, messages.WriteUnavailable())
             else:
                 rows.append((call, action.version, row))
         if not rows:
             return
         event = self._write(rows)
         if len(rows) > 1 and event == messages.WriteConflicted():
-            # One row changed, so none was written.
+            # One row had changed, so no row was written.
             for row in rows:
-                self._settle(row[0], self._write([row]))
+                self._record_result(row[0], self._write([row]))
             return
         for call, _, _ in rows:
-            self._settle(call, event)
+            self._record_result(call, event)
 
     def _outcome_row(
         self, call: KeyedCall, action: messages.StoreOutcome
@@ -297,8 +299,8 @@
             return None
         return self._row(call, action.state, answer_object=name)
 
-    def _settle(self, call: KeyedCall, event: messages.Event) -> None:
-        actions = self._tell(call, event)
+    def _record_result(self, call: KeyedCall, event: messages.Event) -> None:
+        actions = self._handle(call, event)
         with self.lock:
             for action in actions:
                 self.due.append((call, action))
--- a/eelgrassknot/log_writer.py
+++ b/eelgrassknot/log_writer.py
@@ -1,8 +1,8 @@
-"""Writes log lines in a thread of its own, in bounded number.
+"""Non-blocking log stream with a rate limit and a writer thread.
 
-A reader that does not read makes nobody wait: lines that find the queue
-full are counted, and so are ordinary ones beyond a number a second. A
-line says how many were left out.
+A reader that stalls never blocks the callers. Lines are dropped if the
+queue is full, and ordinary lines also if they exceed the rate limit. A log
+line reports the number of dropped lines.
 """
 
 import queue
@@ -14,17 +14,18 @@
 
 QUEUE_LINES = 4_000
 RESERVED_LINES = 1_000
-"""Places in the queue that ordinary lines do not take."""
-REPORT_S = 1.0
+"""Queue capacity reserved for lines that are not ordinary."""
+RATE_WINDOW_S = 1.0
 _ORDINARY = 'level=INFO'
 
 
 class LogWriter:
-    """A stream whose ``write`` never waits.
+    """A text stream whose ``write`` never blocks.
 
     Args:
-        stream: Where the lines go in the end.
-        lines_per_s: Ordinary lines that are written in a second at most.
+        stream: Underlying stream.
+        lines_per_s: Maximum number of lines per second; further ordinary
+            lines are dropped.
         clock: Returns the time in seconds.
 
     Example:
@@ -48,9 +49,9 @@
         self.lines_per_s = lines_per_s
         self.clock = clock
         self.lines: queue.Queue[str | None] = queue.Queue(QUEUE_LINES)
-        self.second = 0
-        self.written = 0
-        self.left_out = 0
+        self.current_second = 0
+        self.written_this_second = 0
+        self.dropped = 0
         self.lock = threading.Lock()
         self.thread = threading.Thread(
             target=self._run, name='log-writer', daemon=True
@@ -58,42 +59,42 @@
         self.thread.start()
 
     def write(self, text: str) -> int:
-        """Take a line; leave it out if there are too many."""
+        """Queue a line; drop it if there are too many."""
         ordinary = _ORDINARY in text
         with self.lock:
-            second = int(self.clock() / REPORT_S)
-            if second != self.second:
-                self.second, self.written = second, 0
-                self._report()
-            over = self.written >= self.lines_per_s
+            second = int(self.clock() / RATE_WINDOW_S)
+            if second != self.current_second:
+                self.current_second, self.written_this_second = second, 0
+                self._report_dropped()
+            over = self.written_this_second >= self.lines_per_s
             full = self.lines.qsize() >= QUEUE_LINES - RESERVED_LINES
             if ordinary and (over or full):
-                self.left_out += 1
+                self.dropped += 1
                 return len(text)
-            self.written += 1
+            self.written_this_second += 1
             self._put(text)
         return len(text)
 
     def flush(self) -> None:
-        """The thread flushes whenever it has nothing to write."""
+        """Do nothing; the writer thread flushes when its queue is empty."""
 
     def close(self, timeout_s: float = 1.0) -> None:
-        """Write what is there, but do not wait long for a reader."""
+        """Write the queued lines, waiting at most ``timeout_s``."""
         with self.lock:
-            self._report()
+            self._report_dropped()
             self._put(None)
         self.thread.join(timeout_s)
 
-    def _report(self) -> None:
-        if self.left_out:
-            count, self.left_out = self.left_out, 0
+    def _report_dropped(self) -> None:
+        if self.dropped:
+            count, self.dropped = self.dropped, 0
             self._put(f'level=WARNING event=lines_left_out count={count}\n')
 
     def _put(self, line: str | None) -> None:
         try:
             self.lines.put_nowait(line)
         except queue.Full:
-            self.left_out += 1
+            self.dropped += 1
 
     def _run(self) -> None:
         while True:
@@ -109,5 +110,5 @@
         try:
             self.stream.write(line)
         except (OSError, ValueError):
-            # The reader has gone; there is nowhere left to say so.
-            self.left_out += 1
+            # The reader is gone, so the loss cannot be reported.
+            self.dropped += 1
--- a/eelgrassknot/platform/engines.py
+++ b/eelgrassknot/platform/engines.py
@@ -1,42 +1,42 @@
-"""Calls to the engines of the users' platform."""
+"""Codec of the calls to the engines of the users' platform."""
 
 import h11
 import msgspec
 
 from eelgrassknot import ids
 
-__all__ = ['decode_move', 'encode_move']
+__all__ = ['decode_kv_transfer', 'encode_kv_transfer']
 
 _OK = 200
 
 
-class _Move(msgspec.Struct):
+class _TransferRequest(msgspec.Struct):
     # Request-Id of the run.
     id: str
-    # IP:port of the engine that takes the memory.
+    # IP:port of the engine that receives the KV cache.
     to: str
-    # Whether the run stops first; its stream is then closed.
+    # Whether the run is stopped first, which closes its stream.
     last: bool
 
 
-class _Moved(msgspec.Struct):
+class _TransferResponse(msgspec.Struct):
     handle: str | int
-    # Events generated so far, not a time.
+    # Number of events generated so far, not a timestamp.
     created: int = 0
 
 
-def encode_move(
+def encode_kv_transfer(
     address: str, request: ids.RequestId, target: str, stop: bool
 ) -> tuple[h11.Request, bytes]:
-    """Return the call that copies a run's memory to another engine.
+    """Encode the call that copies a run's KV cache to another engine.
 
     Args:
         address: Engine that runs the request, ``IP:port``.
         request: Identifier of the request.
-        target: Engine that takes the copy, ``IP:port``.
-        stop: Whether the run stops first.
+        target: Engine that receives the copy, ``IP:port``.
+        stop: Whether the run is stopped first.
     """
-    body = msgspec.json.encode(_Move(request, target, stop))
+    body = msgspec.json.encode(_TransferRequest(request, target, stop))
     head = h11.Request(
         method='POST',
         target='/api/kv-move',
@@ -49,15 +49,15 @@
     return head, body
 
 
-def decode_move(status: int, body: bytes) -> str | None:
-    """Return the name of the copy, or None if there is none.
+def decode_kv_transfer(status: int, body: bytes) -> str | None:
+    """Return the handle of the copy, or None if the transfer failed.
 
-    A refusal for want of room also names the copy that the source keeps,
-    but nothing is at the target then.
+    A refusal for lack of memory also contains the handle of the source's
+    own copy, but then there is no copy at the target.
     """
     if status != _OK:
         return None
     try:
-        return str(msgspec.json.decode(body, type=_Moved).handle)
+        return str(msgspec.json.decode(body, type=_TransferResponse).handle)
     except msgspec.MsgspecError:
         return None
--- a/eelgrassknot/settings/examples.py
+++ b/eelgrassknot/settings/examples.py
@@ -1,4 +1,4 @@
-"""Complete example texts and VM settings of the two deployments."""
+"""Complete example services texts and VM settings of two deployments."""
 
 import dataclasses
 import hashlib
@@ -13,7 +13,7 @@
 __all__ = ['DEPLOYMENTS', 'Deployment', 'Example', 'create']
 
 KEY_BYTES = 32
-PORTS_A_VM = 3
+PORTS_PER_VM = 3
 LARGE_WEIGHT = 4.0
 LARGE_REQUESTS_PER_SECOND = 20.0
 LARGE_TOKENS_PER_MINUTE = 120_000.0
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class EntryVms:
-    """How many entry VMs an availability zone has, and their names."""
+    """Number and name prefix of the entry VMs in an availability zone."""
 
     region: str
     availability_zone: str
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Deployment:
-    """What is particular to one deployment."""
+    """Parameters of an example deployment."""
 
     name: str
     entry_vms: tuple[EntryVms, ...]
@@ -45,11 +45,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Example:
-    """An example that can be written out.
+    """Services text, VM settings and account keys of an example.
 
     Attributes:
-        account_keys: Bearer key of each client account; the text holds
-            only their hashes.
+        account_keys: Bearer key of each client account; the services text
+            contains only their hashes.
     """
 
     text: services_text.ServicesText
@@ -142,29 +142,30 @@
 def create(
     deployment: Deployment, platform_url: str, host: str, first_port: int
 ) -> Example:
-    """Return an example with fresh secrets.
+    """Return an example with newly generated secrets.
 
     Args:
-        deployment: Which deployment.
+        deployment: The deployment.
         platform_url: URL of the platform.
-        host: IP number on which all VMs of the example listen.
-        first_port: The VMs take three ports each from this one on.
+        host: IP address on which all VMs of the example listen.
+        first_port: First port; each VM uses three consecutive ports.
     """
     names = deployment.large_accounts + deployment.small_accounts
-    keys = {ids.ClientAccountId(name): _secret() for name in names}
+    account_keys = {ids.ClientAccountId(name): _secret() for name in names}
     text = services_text.ServicesText(
         deployment=deployment.name,
         regions=_regions(deployment),
         services=deployment.services,
         client_accounts=tuple(
-            _account(deployment, name, key) for name, key in keys.items()
+            _account(deployment, name, key)
+            for name, key in account_keys.items()
         ),
         region_link=services_text.RegionLink(
             price_per_gigabyte=PRICE_PER_GIGABYTE
         ),
     )
     settings = _settings(deployment, platform_url, host, first_port)
-    return Example(text, settings, keys)
+    return Example(text, settings, account_keys)
 
 
 def _secret() -> str:
@@ -205,7 +206,7 @@
         for group in deployment.entry_vms
         for number in range(1, group.count + 1)
     ]
-    ports = [first_port + index * PORTS_A_VM for index in range(len(names))]
+    ports = [first_port + index * PORTS_PER_VM for index in range(len(names))]
     peers = [f'{host}:{port + 2}' for port in ports]
     return tuple(
         vm_settings.VmSettings(
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -1,4 +1,4 @@
-"""Load tool: callers of streams and of plain calls with their records."""
+"""Load generator: callers of streams and plain calls that record results."""
 
 import collections.abc
 import dataclasses
@@ -10,20 +10,20 @@
 from standins import plain_caller
 from standins import stream_caller
 
-__all__ = ['Callers', 'EntryPoint', 'Mix']
+__all__ = ['Callers', 'EntryPoint', 'Workload']
 
 
 @dataclasses.dataclass(frozen=True)
 class EntryPoint:
-    """An entry VM as the balancer reaches it."""
+    """Address of an entry VM for the load balancer."""
 
     vm: str
     address: str
 
 
 @dataclasses.dataclass(frozen=True)
-class Mix:
-    """What the callers ask for.
+class Workload:
+    """Requests that the callers send.
 
     Attributes:
         model: Service of the streams.
@@ -32,10 +32,11 @@
         booking: Path of a non-idempotent POST.
         keys: Bearer keys of the accounts.
         mean_tokens: Mean length of the answers.
-        pause_s: Mean time that a caller waits between requests.
-        patience_s: How long a caller tries to resume an answer.
-        whole_share: Share of the answers that are not streamed.
-        left_share: Share of the streams that their callers give up.
+        mean_pause_s: Mean pause of a caller between requests.
+        progress_timeout_s: How long a caller waits for the answer to a
+            plain call, or resumes a stream without receiving new tokens.
+        unstreamed_share: Fraction of answers that are not streamed.
+        abandoned_share: Fraction of streams that their callers abandon.
     """
 
     model: str
@@ -44,25 +45,25 @@
     booking: str
     keys: tuple[str, ...]
     mean_tokens: int = 60
-    pause_s: float = 0.2
-    patience_s: float = 20.0
-    whole_share: float = 0.0
-    left_share: float = 0.0
+    mean_pause_s: float = 0.2
+    progress_timeout_s: float = 20.0
+    unstreamed_share: float = 0.0
+    abandoned_share: float = 0.0
 
 
 class Callers:
-    """Runs callers in threads until they are told to stop.
+    """Runs callers in threads until they are stopped.
 
     Args:
-        mix: What they ask for.
-        entry_points: Where the balancer sends them.
-        seed: Seed of all choices.
+        workload: Requests to send.
+        entry_points: Entry VMs among which the load balancer chooses.
+        seed: Seed of all random choices.
     """
 
     def __init__(
-        self, mix: Mix, entry_points: list[EntryPoint], seed: int
+        self, workload: Workload, entry_points: list[EntryPoint], seed: int
     ) -> None:
-        self.mix = mix
+        self.workload = workload
         self.entry_points = list(entry_points)
         self.seed = seed
         self.clock = clocks.MonotonicClock()
@@ -72,9 +73,9 @@
         self.threads: list[threading.Thread] = []
 
     def start(self, streams: int, calls: int) -> None:
-        """Start callers of streams and callers of plain calls."""
-        kinds = [('s', self._ask_stream)] * streams
-        kinds += [('c', self._ask_plain)] * calls
+        """Start the given numbers of stream and plain callers."""
+        kinds = [('s', self._run_stream)] * streams
+        kinds += [('c', self._run_plain)] * calls
         for number, (letter, ask) in enumerate(kinds):
             name = f'{letter}{self.seed}-{number}'
             thread = threading.Thread(
@@ -84,17 +85,17 @@
             thread.start()
 
     def stop(self) -> None:
-        """Let every caller finish what it is at, then end."""
+        """Let every caller finish its current request, then stop."""
         self.stopped.set()
         for thread in self.threads:
             thread.join()
 
     def set_entry_points(self, entry_points: list[EntryPoint]) -> None:
-        """Tell the balancer which entry VMs are ready."""
+        """Update the entry VMs that the load balancer uses."""
         self.entry_points = list(entry_points)
 
-    def choose(self, generator: random.Random) -> EntryPoint:
-        """Return where the balancer sends a connection."""
+    def choose_entry_point(self, generator: random.Random) -> EntryPoint:
+        """Return a random entry VM, as a load balancer would."""
         return generator.choice(self.entry_points)
 
     def _run(
@@ -107,25 +108,30 @@
         while not self.stopped.is_set():
             number += 1
             ask(f'{name}-{number}', generator)
-            pause_s = generator.expovariate(1 / self.mix.pause_s)
+            pause_s = generator.expovariate(1 / self.workload.mean_pause_s)
             self.stopped.wait(pause_s)
 
-    def _ask_stream(self, name: str, generator: random.Random) -> None:
-        wanted = 1 + round(generator.expovariate(1 / self.mix.mean_tokens))
+    def _run_stream(self, name: str, generator: random.Random) -> None:
+        wanted = 1 + round(
+            generator.expovariate(1 / self.workload.mean_tokens)
+        )
         record = stream_caller.new_record(name, wanted, self.clock.now_ms())
         self.streams.append(record)
         stream = stream_caller.Stream(self, record, generator)
-        bearer = generator.choice(self.mix.keys)
+        bearer = generator.choice(self.workload.keys)
         draw = generator.random()
-        if draw < self.mix.whole_share:
-            stream.run_whole(bearer)
-        elif draw < self.mix.whole_share + self.mix.left_share:
-            stream.leave_after = generator.randint(1, wanted)
+        if draw < self.workload.unstreamed_share:
+            stream.run_unstreamed(bearer)
+        elif (
+            draw
+            < self.workload.unstreamed_share + self.workload.abandoned_share
+        ):
+            stream.abandon_after = generator.randint(1, wanted)
             stream.run(bearer)
         else:
             stream.run(bearer)
         record.ended_ms = self.clock.now_ms()
 
-    def _ask_plain(self, name: str, generator: random.Random) -> None:
+    def _run_plain(self, name: str, generator: random.Random) -> None:
         caller = plain_caller.PlainCaller(self, name, generator)
-        caller.run(generator.choice(self.mix.keys))
+        caller.run(generator.choice(self.workload.keys))
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -1,4 +1,4 @@
-"""A whole deployment on loopback: stand-ins, proxy and daemons."""
+"""A complete deployment on loopback: stand-ins, proxy and daemons."""
 
 import concurrent.futures
 import pathlib
@@ -29,16 +29,15 @@
 
 
 class Cluster:
-    """Starts, harms and ends the processes of a deployment.
+    """Manages the processes of a deployment and injects faults.
 
-    Every connection between zones, to the platform, to the upstreams and
-    from the callers goes through the proxy. A link is named
-    ``FROM>TO>VM`` after the zone that connects, the zone of the target
-    and the target.
+    All connections between zones, to the platform, to the upstreams and
+    from the callers go through the proxy. A link is named ``FROM>TO>VM``
+    after the connecting zone, the zone of the target and the target.
 
     Args:
-        shape: What to start.
-        directory: Where logs and settings are kept.
+        shape: Composition of the cluster.
+        directory: Directory for logs and settings.
         seed: Seed of the stand-ins.
 
     Example:
@@ -47,7 +46,7 @@
     """
 
     def __init__(
-        self, shape: shapes.Shape, directory: pathlib.Path, seed: int
+        self, shape: shapes.ClusterShape, directory: pathlib.Path, seed: int
     ) -> None:
         self.shape = shape
         self.directory = directory
@@ -61,7 +60,7 @@
         self.account_keys: dict[str, str] = {}
         self.platform: processes.Child | None = None
         self.proxy: processes.Child | None = None
-        self.text: dict = {}
+        self.services_text: dict = {}
         directory.mkdir(parents=True, exist_ok=True)
 
     def __enter__(self) -> 'Cluster':
@@ -76,25 +75,25 @@
         self.close()
 
     def start(self) -> None:
-        """Start everything and put the first text in force."""
+        """Start all processes and accept the first services text."""
         self._start_standins()
         example = examples.create(self.shape.deployment, 'http://x', HOST, 1)
         self.account_keys = dict(example.account_keys)
         self._plan_entry_vms(example)
         self._open_links()
         self.publish_vms()
-        self.text = {
+        self.services_text = {
             **msgspec.to_builtins(example.text),
-            **self.shape.text_changes,
+            **self.shape.services_text_changes,
         }
-        self.accept_text()
+        self.accept_services_text()
         for vm in self.settings:
             self.start_daemon(vm)
 
     def close(self) -> None:
-        """End all processes."""
+        """Kill all processes."""
         for child in self.children:
-            child.end()
+            child.kill()
 
     def _start_standins(self) -> None:
         self.platform = self._start(topologies.PLATFORM, ['standins.platform'])
@@ -169,7 +168,7 @@
         )
 
     def _open_links(self) -> None:
-        orders = self.topology.orders(
+        orders = self.topology.link_requests(
             self.platform.address, self.upstreams, self.settings
         )
         self.topology.addresses = processes.ask_json(
@@ -179,17 +178,17 @@
         processes.ask(self.proxy.address, 'POST', '/groups', rates)
 
     def link(self, zone: str, vm: str) -> str:
-        """Return the address by which a zone reaches a VM."""
+        """Return the address at which a zone reaches a VM."""
         return self.topology.link(zone, vm)
 
     def publish_vms(self) -> None:
-        """Tell the platform which VMs live, as each zone reaches them."""
+        """Send the platform the list of VMs as seen from each zone."""
         lists = self.topology.vm_lists(self.upstreams, self.settings)
         processes.ask(self.platform.address, 'PUT', '/control/vms', lists)
 
-    def accept_text(self) -> bool:
-        """Put the present text in force; return whether it was accepted."""
-        document = msgspec.json.encode(self.text).decode()
+    def accept_services_text(self) -> bool:
+        """Submit the services text; return whether it was accepted."""
+        document = msgspec.json.encode(self.services_text).decode()
         table = http_storage.create(f'http://{self.platform.address}').table
         outcome = config_store.accept(
             table, document, AUTHOR, ids.ChangeId(ids.random_id())
@@ -197,7 +196,7 @@
         return outcome.is_ok()
 
     def start_daemon(self, vm: str) -> None:
-        """Start the daemon of an entry VM, or start it anew."""
+        """Start or restart the daemon of an entry VM."""
         settings = self.settings[vm]
         zone = settings.availability_zone
         peers = tuple(
@@ -223,7 +222,7 @@
         self.daemons[vm] = child
 
     def wait_ready(self, vms: list[str] | None = None) -> None:
-        """Wait until daemons say that they are ready and know upstreams."""
+        """Wait until daemons report that they are ready."""
         names = list(self.settings) if vms is None else vms
         with concurrent.futures.ThreadPoolExecutor(len(names)) as pool:
             for _ in pool.map(self._wait_ready, names):
@@ -231,9 +230,9 @@
 
     def _wait_ready(self, vm: str) -> None:
         def ready() -> bool:
-            if not self.daemons[vm].alive:
+            if not self.daemons[vm].is_running:
                 log = self.daemons[vm].log
-                raise RuntimeError(f'{vm} ended; see {log}')
+                raise RuntimeError(f'{vm} exited; see {log}')
             return self.is_ready(vm)
 
         try:
@@ -244,13 +243,13 @@
             raise RuntimeError(f'{error}: {reasons.decode()}') from error
 
     def is_ready(self, vm: str) -> bool:
-        """Return whether a daemon says that it is ready."""
+        """Return whether a daemon reports that it is ready."""
         operators = self.settings[vm].listen.operators
         status, _ = processes.ask(operators, 'GET', '/readyz', None, 2.0)
         return status == 200
 
     def status(self, vm: str) -> dict:
-        """Return the status document of a daemon; empty if none came."""
+        """Return the status document of a daemon, or {} if unreachable."""
         operators = self.settings[vm].listen.operators
         return processes.ask_json(operators, 'GET', '/status')
 
@@ -262,29 +261,29 @@
             if upstream.kind is states.VmKind.PLAIN
         ]
 
-    def control(self, child: processes.Child, changes: dict) -> None:
-        """Tell a stand-in what to suffer from."""
+    def set_control(self, child: processes.Child, changes: dict) -> None:
+        """Change the simulated faults of a stand-in."""
         processes.ask(child.address, 'POST', '/control', changes)
 
-    def fault(self, links: list[str], **faults: object) -> None:
-        """Set faults on links of the proxy."""
+    def set_faults(self, links: list[str], **faults: object) -> None:
+        """Set faults on matching links of the proxy."""
         order = {'links': links, **faults}
         processes.ask(self.proxy.address, 'POST', '/faults', order)
 
     def kill(self, vm: str) -> None:
         """Kill a daemon."""
-        self.daemons[vm].end()
+        self.daemons[vm].kill()
 
     def terminate(self, vm: str) -> None:
-        """Ask a daemon to drain and end."""
+        """Tell a daemon to drain and exit."""
         self.daemons[vm].signal(signal.SIGTERM)
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that no process has bound.
+    """Return unused ports.
 
-    They lie below the range from which the system takes the ports of
-    outgoing connections, which could take them before a daemon does.
+    The ports are below the ephemeral range. An ephemeral port could be
+    taken by an outgoing connection before a daemon binds it.
     """
     ports: list[int] = []
     while len(ports) < count:
--- a/standins/degradation.py
+++ b/standins/degradation.py
@@ -1,4 +1,4 @@
-"""What was served while a fault lasted, beside what was served before."""
+"""Comparison of the requests served before and during faults."""
 
 import collections
 import collections.abc
@@ -7,17 +7,17 @@
 
 from standins import history as histories
 
-__all__ = ['Served', 'Window', 'served']
+__all__ = ['FaultWindow', 'OutcomeSummary', 'summarize']
 
 P95 = 0.95
 
 
 @dataclasses.dataclass(frozen=True)
-class Window:
-    """When a round's faults began and were healed, in milliseconds.
+class FaultWindow:
+    """Time range of a round's faults, in milliseconds.
 
     Attributes:
-        cut_off: Entry VMs of a zone that was cut off.
+        cut_off: Entry VMs in a partitioned zone.
     """
 
     begin_ms: float
@@ -26,8 +26,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Served:
-    """Outcomes of the requests that began in some span of time."""
+class OutcomeSummary:
+    """Outcomes of the requests that started in a time range."""
 
     name: str
     outcomes: collections.Counter
@@ -40,12 +40,14 @@
         return f'{self.name} {counts or "none"} done_p95_ms={self.p95_ms:.0f}'
 
 
-def served(history: histories.History, window: Window) -> list[Served]:
-    """Return what was served before the faults and while they lasted.
+def summarize(
+    history: histories.History, window: FaultWindow
+) -> list[OutcomeSummary]:
+    """Summarize the requests that started before and during the faults.
 
     Args:
         history: Records of a round.
-        window: When its faults lasted.
+        window: Time range of the faults.
     """
     kinds = (
         ('streams', [(s, s.vms[0]) for s in history.streams if s.vms]),
@@ -68,12 +70,12 @@
     return rows
 
 
-def _row(name: str, records: collections.abc.Sequence) -> Served:
+def _row(name: str, records: collections.abc.Sequence) -> OutcomeSummary:
     outcomes = collections.Counter(r.outcome for r in records)
     times_ms = sorted(
         r.ended_ms - r.started_ms for r in records if r.outcome == 'done'
     )
     if not times_ms:
-        return Served(name, outcomes, 0.0)
+        return OutcomeSummary(name, outcomes, 0.0)
     place = max(0, math.ceil(P95 * len(times_ms)) - 1)
-    return Served(name, outcomes, times_ms[place])
+    return OutcomeSummary(name, outcomes, times_ms[place])
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine: the model of its batch behind HTTP."""
+"""Stand-in of a model engine: a batching simulation behind HTTP."""
 
 import collections.abc
 import os
@@ -25,17 +25,17 @@
 
 
 class Control(msgspec.Struct):
-    """What the engine is told to suffer from.
+    """Simulated faults and delays of the engine.
 
     Attributes:
-        slowdown: Factor on the time of each step.
-        stalled: Whether no step is run at all.
+        slowdown: Factor on the duration of each step.
+        stalled: Whether the engine runs no steps.
         state: ``live`` or ``leaving``.
-        load_lag_ms: Age of the load that it reports.
-        cache_lag_ms: Age of the newest cache event that it reports.
-        cache_gap_probability: Chance for each cache event to be lost.
-        keep_ms: How long a generation is known after its end.
-        mute_streams: Whether open streams send nothing more.
+        load_lag_ms: Age of the reported load.
+        cache_lag_ms: Age of the newest reported cache event.
+        cache_gap_probability: Probability that a cache event is lost.
+        keep_ms: How long a generation is kept after its end.
+        mute_streams: Whether open streams send no further events.
     """
 
     slowdown: float = 1.0
@@ -49,11 +49,11 @@
 
 
 class Record(msgspec.Struct):
-    """What one generation was, for the checkers.
+    """Record of one generation for the checkers.
 
     Attributes:
-        at_ms: When it was accepted, on the machine's monotonic clock.
-        attaches: How many streams were opened on it.
+        at_ms: Time of acceptance on the machine's monotonic clock.
+        attaches: Number of streams opened for it.
     """
 
     generation: str
@@ -65,11 +65,11 @@
 
 
 class Engine:
-    """Drives the model in real time and answers HTTP.
+    """Runs the simulation in real time and serves HTTP.
 
     Args:
-        model: The batch.
-        orders: What the engine holds and whom it obeys.
+        model: Simulation of the batch.
+        orders: Loaded models and received orders.
         seed: Seed of the gaps in the cache events.
     """
 
@@ -85,8 +85,8 @@
         self.control = Control()
         self.telemetry = engine_telemetry.Telemetry(random.Random(seed))
         self.lock = threading.Lock()
-        self.wakened = threading.Condition(self.lock)
-        self.changed: dict[str, threading.Condition] = {}
+        self.work_available = threading.Condition(self.lock)
+        self.token_conditions: dict[str, threading.Condition] = {}
         self.records: dict[str, Record] = {}
         self.leaving_since_ms: float | None = None
         self.application = serving.Application()
@@ -114,18 +114,18 @@
             self.application.add(method, rule, handler)
 
     def run(self) -> None:
-        """Step the batch for as long as the process lives."""
+        """Step the simulation until the process exits."""
         next_snapshot_ms = 0.0
         while True:
             now_ms = self.clock.now_ms()
             with self.lock:
                 self.model.config.slowdown = self.control.slowdown
                 if not self.control.stalled:
-                    self._publish(self.model.advance(now_ms))
+                    self._notify_all_changed(self.model.advance(now_ms))
                 if now_ms >= next_snapshot_ms:
                     self._snapshot(now_ms)
                     next_snapshot_ms = now_ms + SNAPSHOT_MS
-                self.wakened.wait(self._pause_s(now_ms))
+                self.work_available.wait(self._pause_s(now_ms))
 
     def _pause_s(self, now_ms: float) -> float:
         ends_ms = self.model.next_ms()
@@ -134,26 +134,26 @@
         pause_s = (ends_ms - now_ms) / clocks.MS_PER_SECOND
         return min(IDLE_POLL_S, max(0.0, pause_s))
 
-    def _publish(self, happenings: list[engine_model.Happening]) -> None:
-        touched = {happening.generation for happening in happenings}
+    def _notify_all_changed(self, events: list[engine_model.Event]) -> None:
+        touched = {event.generation for event in events}
         for generation in touched:
-            self._touch(generation)
+            self._notify_streams(generation)
 
-    def _touch(self, generation: str) -> None:
+    def _notify_streams(self, generation: str) -> None:
         state = self.model.generations[generation]
         record = self.records[generation]
         record.produced = state.produced
         record.state = state.state
-        self.changed[generation].notify_all()
+        self.token_conditions[generation].notify_all()
 
     def _snapshot(self, now_ms: float) -> None:
         gap_probability = self.control.cache_gap_probability
         self.telemetry.snapshot(self.model, gap_probability, now_ms)
         for generation in self.model.forget(now_ms - self.control.keep_ms):
-            del self.changed[generation]
+            del self.token_conditions[generation]
 
     def complete(self, request: wrappers.Request) -> wrappers.Response:
-        """Start a generation, or attach to the one that has this id."""
+        """Start a generation, or attach to an existing one with its id."""
         body = serving.read_json(request)
         generation = request.headers.get('X-Generation-Id', '')
         if not generation:
@@ -181,18 +181,18 @@
             request.headers.get('X-Priority') != 'batch',
             now_ms,
         )
-        if generation not in self.changed:
-            self.changed[generation] = threading.Condition(self.lock)
+        if generation not in self.token_conditions:
+            self.token_conditions[generation] = threading.Condition(self.lock)
         record = self.records.setdefault(
             generation, Record(generation, request_id, now_ms)
         )
         record.attaches += 1
-        self.wakened.notify()
+        self.work_available.notify()
 
     def resume(
         self, request: wrappers.Request, generation: str
     ) -> wrappers.Response:
-        """Stream a known generation from an index on."""
+        """Stream an existing generation starting at a token index."""
         first = request.args.get('from', 0, type=int)
         with self.lock:
             if generation not in self.model.generations:
@@ -237,14 +237,14 @@
         state: engine_model.Generation,
         index: int,
     ) -> None:
-        condition = self.changed.get(generation)
-        while state.alive and state.produced <= index:
+        condition = self.token_conditions.get(generation)
+        while state.is_active and state.produced <= index:
             condition.wait(STREAM_WAIT_S)
 
     def get_status(
         self, request: wrappers.Request, generation: str
     ) -> wrappers.Response:
-        """Return where a generation stands, or 404."""
+        """Return the progress of a generation, or 404."""
         with self.lock:
             state = self.model.generations.get(generation)
             if state is None:
@@ -256,7 +256,7 @@
     def cancel(
         self, request: wrappers.Request, generation: str
     ) -> wrappers.Response:
-        """End a generation; repeating it changes nothing."""
+        """Cancel a generation; idempotent."""
         with self.lock:
             self._cancel(generation)
         return serving.json_answer({})
@@ -264,10 +264,10 @@
     def _cancel(self, generation: str) -> None:
         if generation in self.model.generations:
             self.model.cancel(generation, self.clock.now_ms())
-            self._touch(generation)
+            self._notify_streams(generation)
 
     def get_load(self, request: wrappers.Request) -> wrappers.Response:
-        """Return the load as it was some time ago."""
+        """Return the load with the configured lag."""
         visible_ms = self.clock.now_ms() - self.control.load_lag_ms
         with self.lock:
             load = self.telemetry.load(visible_ms)
@@ -282,7 +282,7 @@
         )
 
     def get_cache_events(self, request: wrappers.Request) -> wrappers.Response:
-        """Return the cache events that are old enough, with gaps."""
+        """Return cache events with the configured lag and gaps."""
         after = request.args.get('after', 0, type=int)
         visible_ms = self.clock.now_ms() - self.control.cache_lag_ms
         with self.lock:
@@ -291,7 +291,7 @@
         return serving.json_answer({'events': events, 'next': last})
 
     def order(self, request: wrappers.Request) -> wrappers.Response:
-        """Take an order, or refuse one with an old fencing number."""
+        """Accept an order, or refuse one with a stale fencing number."""
         order = msgspec.json.decode(
             request.get_data(), type=engine_orders.Order
         )
@@ -303,32 +303,34 @@
         return serving.json_answer({}, 202)
 
     def get_orders(self, request: wrappers.Request) -> wrappers.Response:
-        """Return what the engine holds and is loading."""
+        """Return the loaded models and pending orders."""
         with self.lock:
             return serving.json_answer(self.orders.state(self.clock.now_ms()))
 
     def get_control(self, request: wrappers.Request) -> wrappers.Response:
-        """Return the faults that are set."""
+        """Return the current faults."""
         return serving.json_answer(self.control)
 
     def set_control(self, request: wrappers.Request) -> wrappers.Response:
-        """Replace the faults that the body names."""
+        """Change the faults given in the body."""
         changes = serving.read_json(request)
         with self.lock:
-            self.control = serving.merge(self.control, changes)
+            self.control = serving.merge_changes(self.control, changes)
             leaving = self.control.state == 'leaving'
             if leaving and self.leaving_since_ms is None:
                 self.leaving_since_ms = self.clock.now_ms()
             if not leaving:
                 self.leaving_since_ms = None
-            self.wakened.notify()
+            self.work_available.notify()
         return serving.json_answer(self.control)
 
     def reclaim(self, request: wrappers.Request) -> wrappers.Response:
-        """Say that the engine is leaving, then exit after a notice."""
+        """Announce that the engine is leaving, and exit after a delay."""
         notice_ms = serving.read_json(request).get('notice_ms', 2_000.0)
         with self.lock:
-            self.control = serving.merge(self.control, {'state': 'leaving'})
+            self.control = serving.merge_changes(
+                self.control, {'state': 'leaving'}
+            )
             self.leaving_since_ms = self.clock.now_ms()
         timer = threading.Timer(
             notice_ms / clocks.MS_PER_SECOND, os._exit, (0,)
@@ -338,17 +340,17 @@
         return serving.json_answer({})
 
     def forget(self, request: wrappers.Request) -> wrappers.Response:
-        """Lose all generations, as an engine that was started anew."""
+        """Drop all generations, like an engine that was restarted."""
         with self.lock:
             for generation in list(self.model.generations):
                 self._cancel(generation)
             now_ms = self.clock.now_ms()
             for generation in self.model.forget(now_ms):
-                del self.changed[generation]
+                del self.token_conditions[generation]
         return serving.json_answer({})
 
     def get_history(self, request: wrappers.Request) -> wrappers.Response:
-        """Return what each generation produced, and the orders taken."""
+        """Return the records of generations and orders."""
         with self.lock:
             return serving.json_answer(
                 {
@@ -375,7 +377,7 @@
     check_fencing: bool = True,
     load_time_ms: float = 500.0,
 ) -> None:
-    """Serve an engine's stand-in until SIGTERM."""
+    """Run an engine's stand-in until SIGTERM."""
     config = engine_model.EngineConfig(
         kv_tokens_total=kv_tokens,
         max_running=max_running,
--- a/standins/engine_orders.py
+++ b/standins/engine_orders.py
@@ -1,12 +1,12 @@
-"""What an engine's stand-in holds, and the orders that it takes."""
+"""Loaded models of an engine's stand-in and the orders it receives."""
 
 import msgspec
 
-__all__ = ['Held', 'Order', 'Orders', 'Taken']
+__all__ = ['Held', 'Order', 'OrderRecord', 'Orders']
 
 
 class Order(msgspec.Struct):
-    """Target state that an engine is told to reach."""
+    """Target state that an engine is ordered to reach."""
 
     order: str
     model: str = ''
@@ -17,15 +17,15 @@
 
 
 class Held(msgspec.Struct):
-    """A model in memory."""
+    """A loaded model."""
 
     model: str
     version: str
     adapters: list[str]
 
 
-class Taken(msgspec.Struct):
-    """An order with what became of it."""
+class OrderRecord(msgspec.Struct):
+    """A received order and whether it was accepted."""
 
     at_ms: float
     order: Order
@@ -33,12 +33,12 @@
 
 
 class Orders:
-    """Takes orders in turn; each takes effect after a load time.
+    """Accepts orders, each of which takes effect after a load time.
 
     Args:
-        check_fencing: Whether old fencing numbers are refused.
-        load_time_ms: Time until an order takes effect.
-        role: Role at the start.
+        check_fencing: Whether stale fencing numbers are refused.
+        load_time_ms: Delay until an order takes effect.
+        role: Initial role.
     """
 
     def __init__(
@@ -47,43 +47,43 @@
         self.check_fencing = check_fencing
         self.load_time_ms = load_time_ms
         self.role = role
-        self.seen = 0
+        self.highest_fencing = 0
         self.held: dict[str, Held] = {}
         self.loading: list[tuple[float, Order]] = []
-        self.taken: list[Taken] = []
+        self.taken: list[OrderRecord] = []
 
     def hold(self, model: str, version: str, adapters: list[str]) -> None:
-        """Put a model into memory at once."""
+        """Load a model immediately."""
         self.held[model] = Held(model, version, list(adapters))
 
     def take(self, order: Order, now_ms: float) -> int | None:
-        """Take an order.
+        """Accept or refuse an order.
 
         Returns:
-            None if it was taken, else the fencing number that it is
-            older than.
+            None if the order was accepted, otherwise the highest fencing
+            number received so far.
         """
         fencing = order.fencing
         if self.check_fencing and fencing is not None:
-            if fencing < self.seen:
-                self.taken.append(Taken(now_ms, order, False))
-                return self.seen
-            self.seen = fencing
-        self.taken.append(Taken(now_ms, order, True))
+            if fencing < self.highest_fencing:
+                self.taken.append(OrderRecord(now_ms, order, False))
+                return self.highest_fencing
+            self.highest_fencing = fencing
+        self.taken.append(OrderRecord(now_ms, order, True))
         self.loading.append((now_ms + self.load_time_ms, order))
         return None
 
     def state(self, now_ms: float) -> dict:
-        """Return what is held and what is loading."""
-        self._settle(now_ms)
+        """Return the loaded models and pending orders."""
+        self._apply_due(now_ms)
         return {
             'models': list(self.held.values()),
             'role': self.role,
             'loading': [order for _, order in self.loading],
-            'fencing': self.seen,
+            'fencing': self.highest_fencing,
         }
 
-    def _settle(self, now_ms: float) -> None:
+    def _apply_due(self, now_ms: float) -> None:
         ready = [order for at_ms, order in self.loading if at_ms <= now_ms]
         self.loading = [
             (at_ms, order) for at_ms, order in self.loading if at_ms > now_ms
--- a/standins/topology.py
+++ b/standins/topology.py
@@ -1,4 +1,4 @@
-"""Links between the zones of a cluster and what each zone sees."""
+"""Links between the zones of a cluster, and the VM list of each zone."""
 
 import collections.abc
 import dataclasses
@@ -31,20 +31,20 @@
 
 
 class Topology:
-    """Names the links of a cluster and describes its VMs.
+    """Links of a cluster and VM lists for the platform.
 
-    A link is named ``FROM>TO>VM`` after the zone that connects, the zone
-    of the target and the target.
+    A link is named ``FROM>TO>VM`` after the connecting zone, the zone of
+    the target and the target.
 
     Args:
-        shape: What the cluster consists of.
+        shape: Composition of the cluster.
 
     Attributes:
         regions: Region of each availability zone.
-        addresses: Where the proxy listens for each link.
+        addresses: Listening address of the proxy for each link.
     """
 
-    def __init__(self, shape: shapes.Shape) -> None:
+    def __init__(self, shape: shapes.ClusterShape) -> None:
         self.shape = shape
         self.addresses: dict[str, str] = {}
         self.regions = {
@@ -52,10 +52,10 @@
             for group in shape.deployment.entry_vms
         }
 
-    def orders(
+    def link_requests(
         self, platform: str, upstreams: Upstreams, settings: Settings
     ) -> list[dict]:
-        """Return the listeners that the proxy is to open.
+        """Return the links that the proxy has to open.
 
         Args:
             platform: Address of the platform.
@@ -65,30 +65,32 @@
         platform_zone = next(iter(self.regions))
         orders = []
         for zone in self.regions:
-            orders.append(self._order(zone, platform_zone, PLATFORM, platform))
+            orders.append(
+                self._link_request(zone, platform_zone, PLATFORM, platform)
+            )
             for upstream in upstreams.values():
                 target_zone = upstream.availability_zone
                 address = upstream.child.address
                 orders.append(
-                    self._order(zone, target_zone, upstream.vm, address)
+                    self._link_request(zone, target_zone, upstream.vm, address)
                 )
         for vm, each in settings.items():
-            orders += self._entry_orders(vm, each)
+            orders += self._entry_link_requests(vm, each)
         return orders
 
-    def _entry_orders(
+    def _entry_link_requests(
         self, vm: str, settings: vm_settings.VmSettings
     ) -> list[dict]:
         target_zone = settings.availability_zone
         listen = settings.listen
         orders = [
-            self._order(zone, target_zone, vm, listen.peers)
+            self._link_request(zone, target_zone, vm, listen.peers)
             for zone in self.regions
         ]
         name = f'{CALLERS}>{target_zone}>{vm}'
         return [*orders, {'name': name, 'target': listen.callers}]
 
-    def _order(
+    def _link_request(
         self, zone: str, target_zone: str, vm: str, address: str
     ) -> dict:
         crosses = self.regions[zone] != self.regions[target_zone]
@@ -101,7 +103,7 @@
         }
 
     def link(self, zone: str, vm: str) -> str:
-        """Return the address by which a zone reaches a VM.
+        """Return the address at which a zone reaches a VM.
 
         Raises:
             KeyError: If there is no such link.
@@ -113,7 +115,7 @@
         raise KeyError(f'{zone} has no link to {vm}')
 
     def vm_lists(self, upstreams: Upstreams, settings: Settings) -> dict:
-        """Return the lists of VMs for the platform, one for each zone."""
+        """Return the VM lists for the platform, one per zone."""
         views = {
             zone: self._view(zone, upstreams, settings)
             for zone in self.regions
--- a/tests/steps/policy_small_parts.py
+++ b/tests/steps/policy_small_parts.py
@@ -1,4 +1,4 @@
-"""Steps on the smaller parts of the policy."""
+"""Steps for the smaller components of the policy."""
 
 import collections
 import random
@@ -11,8 +11,8 @@
 from eelgrassknot.policy import concurrency
 from eelgrassknot.policy import fairness
 from eelgrassknot.policy import health
+from eelgrassknot.policy import long_prompts
 from eelgrassknot.policy import messages
-from eelgrassknot.policy import prefill_lane
 from eelgrassknot.policy import prefix
 from eelgrassknot.policy import region_budget
 from eelgrassknot.policy import retry_budget
@@ -81,7 +81,7 @@
 
 
 @behave.given(
-    'a queue with batch work that has waited 30 s and fresh interactive work'
+    'a queue with batch work that has waited 30 s and new interactive work'
 )
 def given_batch(context):
     counters = fairness.TokenCounters()
@@ -107,13 +107,13 @@
 
 @behave.when('another account queues a request')
 def another_queues(context):
-    context.loser = context.queue.push(queued('one', 'small'))
+    context.evicted = context.queue.push(queued('one', 'small'))
 
 
 @behave.then('the first account loses its newest request')
 def loses_newest(context):
     last = f'r{admission.MAX_QUEUED - 1}'
-    assert context.loser.profile.request == last
+    assert context.evicted.profile.request == last
     assert context.queue.size == admission.MAX_QUEUED
     assert context.queue.find('one') is not None
 
@@ -124,7 +124,7 @@
     context.affinity.stored('engine', ('a', 'b', 'c', 'd'))
 
 
-@behave.when('the engine says that it evicted the last 2 prefixes')
+@behave.when('the engine reports the eviction of the last 2 prefixes')
 def evicted(context):
     context.affinity.evicted('engine', ('d', 'c', 'never seen'))
 
@@ -136,9 +136,9 @@
 
 
 @behave.then(
-    'for any run of requests granted bytes stay within rate and burst'
+    'for any sequence of requests granted bytes stay within rate and burst'
 )
-def link_kept(context):
+def link_budget_kept(context):
     sizes = strategies.lists(
         strategies.tuples(
             strategies.floats(0, 2_000), strategies.floats(1, 1e6)
@@ -168,16 +168,16 @@
 @behave.given('10 engines known in two different orders')
 def given_orders(context):
     names = [f'engine-{index}' for index in range(10)]
-    context.lanes = []
+    context.engine_sets = []
     for order in (names, names[::-1]):
-        lane = prefill_lane.LongPromptEngines()
-        lane.assign(order)
-        context.lanes.append(lane)
+        engines = long_prompts.LongPromptEngines()
+        engines.assign(order)
+        context.engine_sets.append(engines)
 
 
 @behave.then('both orders give the same 2 engines for long prompts')
-def same_lane(context):
-    first, second = context.lanes
+def same_engines(context):
+    first, second = context.engine_sets
     assert first.members == second.members and len(first.members) == 2
 
 
@@ -211,7 +211,7 @@
 
 
 @behave.given(
-    'a queue that one account has filled while one leaves each second'
+    'a queue that one account has filled while one is dispatched each second'
 )
 def given_flooded(context):
     given_full(context)
@@ -229,8 +229,7 @@
 
 
 @behave.then(
-    'an account of the same weight that was served less waits below'
-    ' {bound_s:d} s'
+    'an account of the same weight with less service waits below {bound_s:d} s'
 )
 def small_waits(context, bound_s):
     profile = queued('next', 'small').profile
@@ -238,7 +237,7 @@
 
 
 @behave.then(
-    'a full budget of {full:d} retries allows {share:d} once its share is '
+    'a full budget of {full:d} retries allows {share:d} once its maximum is '
     '{limit:d}'
 )
 def shrunk_budget(context, full, share, limit):
@@ -248,7 +247,7 @@
 
 
 @behave.then(
-    '{requests:d} requests earn {retries:d} retries, and no more are saved'
+    '{requests:d} requests earn {retries:d} retries, up to the maximum'
 )
 def earned_retries(context, requests, retries):
     for _ in range(requests):
@@ -267,7 +266,7 @@
 
 
 @behave.given(
-    '{vms:d} VMs that share a burst of {burst:d} repeats and a ratio of '
+    '{vms:d} VMs that share a burst of {burst:d} retries and a ratio of '
     '{ratio:g}'
 )
 def sharing_vms(context, vms, burst, ratio):
@@ -280,15 +279,15 @@
 
 @behave.when(
     'each gets {rate:d} requests a second for {length:d} s, and all but '
-    'those of the first {quiet:d} s want a repeat'
+    'those of the first {quiet:d} s need a retry'
 )
-def requests_repeat(context, rate, length, quiet):
+def requests_need_retries(context, rate, length, quiet):
     context.rate, context.length, context.quiet = rate, length, quiet
 
 
-@behave.when('all VMs are killed and started again every {gap:d} s')
-def killed_again(context, gap):
-    context.requests, context.repeats = [], []
+@behave.when('all VMs are killed and restarted every {gap:d} s')
+def restarted_repeatedly(context, gap):
+    context.requests, context.retries = [], []
     budgets = context.start()
     for second in range(context.length):
         if second and second % gap == 0:
@@ -299,64 +298,70 @@
                 budget.earn()
                 made += second >= context.quiet and budget.spend()
         context.requests.append(context.rate * len(budgets))
-        context.repeats.append(made)
+        context.retries.append(made)
 
 
 @behave.then(
-    'in no {window:d} s there are more repeats than the ratio and the burst '
+    'in no {window:d} s there are more retries than the ratio and the burst '
     'allow'
 )
-def repeats_bounded(context, window):
+def retries_bounded(context, window):
     for start in range(context.length - window + 1):
         end = start + window
         requests = sum(context.requests[start:end])
-        repeats = sum(context.repeats[start:end])
+        retries = sum(context.retries[start:end])
         allowed = context.ratio * requests + context.burst
-        assert repeats <= allowed, (start, repeats, allowed)
+        assert retries <= allowed, (start, retries, allowed)
 
 
-@behave.given('a book of {count:d} upstreams of which u1 is asked at 0 ms')
-def book_of(context, count):
-    context.book = health.HealthTracker()
+@behave.given(
+    '{count:d} tracked upstreams of which u1 is sent a request at 0 ms'
+)
+def first_sent_request(context, count):
+    context.tracker = health.HealthTracker()
     context.names = [f'u{number}' for number in range(1, count + 1)]
-    context.book.request_sent('u1', 0.0)
+    context.tracker.request_sent('u1', 0.0)
 
 
-@behave.given('a book of {count:d} upstreams that are all asked at 0 ms')
-def book_of_asked(context, count):
-    book_of(context, count)
+@behave.given(
+    '{count:d} tracked upstreams that are all sent a request at 0 ms'
+)
+def all_sent_requests(context, count):
+    first_sent_request(context, count)
     for name in context.names[1:]:
-        context.book.request_sent(name, 0.0)
+        context.tracker.request_sent(name, 0.0)
 
 
 @behave.then('u1 is usable at {now:d} ms and not at {later:d} ms')
 def usable_and_not(context, now, later):
-    assert 'u1' in context.book.usable(context.names, now)
-    assert 'u1' not in context.book.usable(context.names, later)
+    assert 'u1' in context.tracker.usable(context.names, now)
+    assert 'u1' not in context.tracker.usable(context.names, later)
 
 
 @behave.then('u1 is usable at {now:d} ms and still at {later:d} ms')
 def usable_and_still(context, now, later):
     for time_ms in (now, later):
-        assert 'u1' in context.book.usable(context.names, time_ms)
+        assert 'u1' in context.tracker.usable(context.names, time_ms)
 
 
-@behave.when('u1 begins to answer at {now:d} ms')
-def begins_to_answer(context, now):
-    context.book.response_started('u1', now)
+@behave.when('u1 begins to respond at {now:d} ms')
+def begins_to_respond(context, now):
+    context.tracker.response_started('u1', now)
 
 
 @behave.when(
-    'u1 is asked again every {gap:d} ms and answers one of them {delay:d} ms '
-    'later'
+    'u1 is sent one every {gap:d} ms and begins to answer one each time from '
+    '{delay:d} ms on'
 )
-def asked_again(context, gap, delay):
+def sent_repeatedly(context, gap, delay):
     context.usable = []
     for now in range(gap, 30 * gap, gap):
-        context.book.request_sent('u1', now)
+        context.tracker.request_sent('u1', now)
         if now >= delay:
-            context.book.response_started('u1', now)
-        context.usable.append('u1' in context.book.usable(context.names, now))
+            context.tracker.response_started('u1', now)
+        context.usable.append(
+            'u1' in context.tracker.usable(context.names, now)
+        )
 
 
 @behave.then('u1 is usable at every step')
@@ -366,4 +371,4 @@
 
 @behave.then('{count:d} of them is usable at {now:d} ms')
 def count_usable(context, count, now):
-    assert len(context.book.usable(context.names, now)) == count
+    assert len(context.tracker.usable(context.names, now)) == count
