--- a/standins/checkers.py
+++ b/standins/checkers.py
@@ -157,11 +157,11 @@
 
 @_checker('leavers_get_nothing_new')
 def _leavers_get_nothing_new(history):
-    begun = [(g.engine, g.generation, g.at_ms) for g in history.generations]
-    begun += [(e.service, e.request_id, e.at_ms) for e in history.executions]
+    started = [(g.engine, g.generation, g.at_ms) for g in history.generations]
+    started += [(e.service, e.request_id, e.at_ms) for e in history.executions]
     for leaving in history.leaving:
         limit_ms = leaving.since_ms + LEAVING_GRACE_MS
-        for upstream, work, at_ms in begun:
+        for upstream, work, at_ms in started:
             if upstream != leaving.upstream:
                 continue
             if limit_ms < at_ms < leaving.until_ms:
--- a/tests/steps/coordination_digest.py
+++ b/tests/steps/coordination_digest.py
@@ -258,10 +258,10 @@
         known = membership.Membership(vm, 'z0')
         known.handle(membership_messages.ListRead(context.entries), 0.0)
         for other in set(names) - {vm}:
-            heard = membership_messages.HeartbeatReceived(
+            heartbeat = membership_messages.HeartbeatReceived(
                 other, other, 1, 1, False
             )
-            known.handle(heard, 0.0)
+            known.handle(heartbeat, 0.0)
         planned = links.plan_links(known)
         assert sorted(planned.zone_peers) == sorted(set(names) - {vm})
         counts.append(len(planned.remote_gateways))
--- a/tests/steps/frontend_stream_multiplexer.py
+++ b/tests/steps/frontend_stream_multiplexer.py
@@ -144,10 +144,10 @@
     'the caller of stream {number:d} receives the tokens 0 to {last:d}'
 )
 def caller_gets(context, number, last):
-    wanted = b''.join(b'%d ' % index for index in range(last + 1))
+    expected = b''.join(b'%d ' % index for index in range(last + 1))
     caller = context.streams[number].caller
     got = caller.other.recv(65_536)
-    assert got == wanted, got
+    assert got == expected, got
 
 
 def _released(context, number):
--- a/tests/steps/reporting_report.py
+++ b/tests/steps/reporting_report.py
@@ -74,8 +74,8 @@
             parts_ms = sum(part.total_ms for part in row.parts)
             assert abs(parts_ms - row.total_ms) <= 1e-6 * (1 + total_ms)
             # The recorder ignores up to 0.001 ms of rounding per request.
-            allowed_ms = 0.002 * row.requests + 1e-9 * total_ms
-            assert abs(row.total_ms - total_ms) <= allowed_ms, row
+            tolerance_ms = 0.002 * row.requests + 1e-9 * total_ms
+            assert abs(row.total_ms - total_ms) <= tolerance_ms, row
 
     add_up()
 
@@ -113,16 +113,16 @@
     generator.shuffle(many)
     expected = report_of([alone])
     found = report_of(many)
-    for mine, theirs in zip(found.operations, expected.operations):
-        assert mine.outcomes == theirs.outcomes
-        assert abs(mine.total_ms - theirs.total_ms) < 1e-3
-        for measure, quantiles in mine.durations.items():
-            other = theirs.durations[measure]
+    for actual_row, expected_row in zip(found.operations, expected.operations):
+        assert actual_row.outcomes == expected_row.outcomes
+        assert abs(actual_row.total_ms - expected_row.total_ms) < 1e-3
+        for measure, quantiles in actual_row.durations.items():
+            other = expected_row.durations[measure]
             assert quantiles.p99_ms == other.p99_ms
             assert quantiles.count == other.count
-    for mine, theirs in zip(found.money, expected.money):
-        assert mine.tokens_twice == theirs.tokens_twice
-        assert mine.region_bytes == theirs.region_bytes
+    for actual_row, expected_row in zip(found.money, expected.money):
+        assert actual_row.tokens_twice == expected_row.tokens_twice
+        assert actual_row.region_bytes == expected_row.region_bytes
 
 
 @behave.then(
@@ -226,16 +226,16 @@
 def counts_service(context, service, count):
     part = context.recorder.close_interval(END_MS)
     context.part = part
-    wanted = messages.ReportFilter(0, END_MS, service=service)
-    merger = merge.Merger(wanted)
+    report_filter = messages.ReportFilter(0, END_MS, service=service)
+    merger = merge.Merger(report_filter)
     merger.add(part)
     assert requests_of(merger.report(())) == count
 
 
 @behave.then('the report on account "{account}" counts {count:d} requests')
 def counts_account(context, account, count):
-    wanted = messages.ReportFilter(0, END_MS, client_account=account)
-    merger = merge.Merger(wanted)
+    report_filter = messages.ReportFilter(0, END_MS, client_account=account)
+    merger = merge.Merger(report_filter)
     merger.add(context.part)
     assert requests_of(merger.report(())) == count
 
--- a/tests/steps/requests_claim.py
+++ b/tests/steps/requests_claim.py
@@ -123,8 +123,8 @@
 def stored_over(context, version):
     answer = plain_messages.Answer(200, 'text/plain', b'yes')
     end = plain_messages.EndCall(states.Outcome.DONE, 'ok', answer)
-    told, stored = context.claim.handle(messages.CallEnded(end), 0.0)
-    assert told.answer == answer
+    response, stored = context.claim.handle(messages.CallEnded(end), 0.0)
+    assert response.answer == answer
     assert stored.version == version
 
 
@@ -168,10 +168,10 @@
 
 @behave.then('it reads the row again before it ends as unknown')
 def reads_again(context):
-    gone = messages.OwnerAnswered(peers.OwnerAnswer.GONE)
-    assert context.claim.handle(gone, 0.0) == [messages.ReadRow()]
+    absent = messages.OwnerAnswered(peers.OwnerAnswer.GONE)
+    assert context.claim.handle(absent, 0.0) == [messages.ReadRow()]
     context.claim.handle(messages.RowRead(_row('n0'), 1), 0.0)
-    (end,) = context.claim.handle(gone, 0.0)
+    (end,) = context.claim.handle(absent, 0.0)
     assert end.outcome is states.Outcome.UNKNOWN
 
 
--- a/tests/steps/requests_forwarded_stream.py
+++ b/tests/steps/requests_forwarded_stream.py
@@ -81,9 +81,9 @@
 
 @behave.when('e1 announces that it is leaving and {span_ms:d} ms pass')
 def is_leaving(context, span_ms):
-    told = context.simulation.handle(messages.UpstreamLeaving('e1'))
-    told = told + context.simulation.wait(span_ms)
-    context.simulation.latest = told
+    actions = context.simulation.handle(messages.UpstreamLeaving('e1'))
+    actions = actions + context.simulation.wait(span_ms)
+    context.simulation.latest = actions
 
 
 @behave.when('{span_ms:d} ms pass without an event')
--- a/tests/steps/requests_streams.py
+++ b/tests/steps/requests_streams.py
@@ -91,8 +91,8 @@
 
 @behave.when('its engine is removed from the list of upstreams')
 def engine_leaves(context):
-    gone = context.cancellations.remove_missing_upstreams({'e2': None})
-    assert gone == [_GENERATION]
+    removed = context.cancellations.remove_missing_upstreams({'e2': None})
+    assert removed == [_GENERATION]
 
 
 @behave.then('the first cancellation request is due after {grace_ms:d} ms')
@@ -129,15 +129,15 @@
 def read_thrice(context):
     for vm in 'abc':
         context.readers[vm].register(_GENERATION)
-        told = 'a' if vm != 'a' else None
-        while told is not None:
-            taken = context.readers[told].record_takeover(
+        notified = 'a' if vm != 'a' else None
+        while notified is not None:
+            taken = context.readers[notified].record_takeover(
                 _GENERATION, ids.VmId(vm)
             )
-            told = taken.forward_to
+            notified = taken.forward_to
 
 
 @behave.then('only the reader at c remains')
 def only_c(context):
-    left = [vm for vm in 'abc' if context.readers[vm].active]
-    assert left == ['c'], left
+    remaining = [vm for vm in 'abc' if context.readers[vm].active]
+    assert remaining == ['c'], remaining
--- a/tests/steps/standins_engine_model.py
+++ b/tests/steps/standins_engine_model.py
@@ -75,7 +75,7 @@
     'submitted'
 )
 def submit_two(context, first, second, tokens):
-    context.wanted = tokens
+    context.expected = tokens
     for name in (first, second):
         _submit(context.engine, name, tokens)
 
