--- a/standins/rounds.py
+++ b/standins/rounds.py
@@ -85,12 +85,12 @@
         self.seed = seed
         self.directory = directory / f'round-{seed}'
         self.generator = random.Random(seed)
-        drawn = self.generator.choice(sorted(PATHS))
-        self.deployment = deployment or drawn
+        random_deployment = self.generator.choice(sorted(PATHS))
+        self.deployment = deployment or random_deployment
         count = self.generator.choice((1, 2))
         # The same fault may be chosen twice.
-        drawn_names = self.generator.choices(sorted(faults.FAULTS), k=count)
-        self.names = tuple(names or drawn_names)
+        random_names = self.generator.choices(sorted(faults.FAULTS), k=count)
+        self.names = tuple(names or random_names)
         shape = shapes.shape_of(self.deployment, daemon_module)
         self.shape = shapes.minimal(shape) if is_small else shape
 
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -58,8 +58,8 @@
     except RuntimeError as error:
         # A process that fails to start is reported as a violation and
         # does not stop the soak test.
-        broken = checkers.Violation('round_runs', 'round', str(error))
-        return one.verdict((broken,))
+        start_failure = checkers.Violation('round_runs', 'round', str(error))
+        return one.verdict((start_failure,))
 
 
 def _table(outcomes: list[verdicts.RoundResult]) -> str:
--- a/standins/verdict.py
+++ b/standins/verdict.py
@@ -25,13 +25,13 @@
     served: tuple[degradation.OutcomeSummary, ...]
 
     def __str__(self) -> str:
-        word = 'violated' if self.violations else 'held'
+        verdict = 'violated' if self.violations else 'held'
         return (
             f'round seed={self.seed} deployment={self.deployment}'
             f' faults={"+".join(self.faults)}'
             f' streams={_counts(self.streams)} calls={_counts(self.calls)}'
             f' seconds={self.seconds:.0f} violations='
-            f'{len(self.violations)} verdict={word}'
+            f'{len(self.violations)} verdict={verdict}'
         )
 
 
--- a/tests/entry_process.py
+++ b/tests/entry_process.py
@@ -177,14 +177,14 @@
                 if not self._receive():
                     return body, False
             size, rest = self.data.split(b'\r\n', 1)
-            wanted = int(size, 16)
-            while len(rest) < wanted + 2:
+            chunk_size = int(size, 16)
+            while len(rest) < chunk_size + 2:
                 if not self._receive():
                     return body, False
                 rest = self.data.split(b'\r\n', 1)[1]
-            body += rest[:wanted]
-            self.data = rest[wanted + 2 :]
-            if wanted == 0:
+            body += rest[:chunk_size]
+            self.data = rest[chunk_size + 2 :]
+            if chunk_size == 0:
                 return body, True
 
     def _receive(self):
--- a/tests/steps/forwarding_whole_path.py
+++ b/tests/steps/forwarding_whole_path.py
@@ -76,8 +76,8 @@
 @behave.then('the response is complete and the server received the same body')
 def complete_response(context):
     assert context.answer.status == 200, context.entry.log()
-    wanted = f'answer to {context.request} '.encode() + context.body
-    assert context.answer.body == wanted
+    expected = f'answer to {context.request} '.encode() + context.body
+    assert context.answer.body == expected
     (body,) = [body for desk in context.desks for body in desk.bodies]
     assert body == context.body
 
--- a/tests/steps/reporting_coverage.py
+++ b/tests/steps/reporting_coverage.py
@@ -82,8 +82,8 @@
 
 
 def stored_report(context, expected_vms=()):
-    wanted = messages.ReportFilter(0, int(context.clock.now_ms()) + 1)
-    read = reader.read_report(context.objects, wanted, expected_vms)
+    report_filter = messages.ReportFilter(0, int(context.clock.now_ms()) + 1)
+    read = reader.read_report(context.objects, report_filter, expected_vms)
     return read.unwrap()
 
 
--- a/tests/steps/reporting_explanation.py
+++ b/tests/steps/reporting_explanation.py
@@ -11,9 +11,9 @@
 
 
 def _line(second, event, **pairs):
-    told = ' '.join(f'{name}={value}' for name, value in pairs.items())
+    fields = ' '.join(f'{name}={value}' for name, value in pairs.items())
     time = f'2026-01-01T00:00:{second:02d}.000Z'
-    return f'time={time} level=INFO event={event} {told}'
+    return f'time={time} level=INFO event={event} {fields}'
 
 
 @behave.given(
@@ -82,5 +82,7 @@
         assert 'cause: the upstream connection broke' in plain.stdout, (
             plain.stdout
         )
-        told = cli_process.run_cli(['explain', '--json', 'q1', *files], folder)
-        assert json.loads(told.stdout)['reason'] == 'upstream_lost'
+        result = cli_process.run_cli(
+            ['explain', '--json', 'q1', *files], folder
+        )
+        assert json.loads(result.stdout)['reason'] == 'upstream_lost'
--- a/tests/steps/standins_wire.py
+++ b/tests/steps/standins_wire.py
@@ -154,7 +154,7 @@
 
 
 @behave.when('it is told to leave')
-def told_to_leave(context):
+def leave_requested(context):
     _ask(context, 'POST', '/control', {'state': 'leaving'})
 
 
